--- a/molespur/policy/pair.py
+++ b/molespur/policy/pair.py
@@ -83,7 +83,7 @@
 
 
 @dataclass(slots=True)
-class Way:
+class RoutePlan:
     """How a request could be served."""
 
     steps: tuple[Step, ...]
@@ -92,7 +92,7 @@
     cost: float
 
     @property
-    def prefill(self):
+    def prefill_step(self):
         """The step that reads the prompt apart, if there is one."""
         return self.steps[0] if len(self.steps) > 1 else None
 
@@ -103,10 +103,10 @@
 
 
 @dataclass(slots=True)
-class Choice:
+class Selection:
     """A way, and whether its forecast meets the aim."""
 
-    way: Way
+    plan: RoutePlan
     meets: bool
 
 
@@ -123,20 +123,20 @@
 
     def choose(
         self, now: float, workers: Iterable[WorkerTrack], demand: Demand, avoid: Sequence[str] = ()
-    ) -> Choice | None:
+    ) -> Selection | None:
         """The design's choice among the usable workers; None without any."""
         usable = self._usable(now, workers, avoid)
         if demand.engine is None:
-            ways = [self._alone(now, w, Part.PLAIN, demand) for w in usable]
+            plans = [self._alone(now, w, Part.PLAIN, demand) for w in usable]
         else:
-            ways = self._engine_ways(now, usable, demand)
-        if not ways:
+            plans = self._engine_ways(now, usable, demand)
+        if not plans:
             return None
         left = demand.aim_at - now
         if len(demand.parts) > 1:
-            ways = warm_first(self.random, ways, WARM_PENALTY_MS, _forecast, lambda way: way.match)
-        chosen, meets = meeting(self.random, ways, left, _forecast, demand.repeatable)
-        return Choice(draw(self.random, chosen, [way.cost for way in chosen]), meets)
+            plans = warm_first(self.random, plans, WARM_PENALTY_MS, _forecast, lambda plan: plan.match)
+        chosen, meets = meeting(self.random, plans, left, _forecast, demand.repeatable)
+        return Selection(draw(self.random, chosen, [plan.cost for plan in chosen]), meets)
 
     def choose_decode(
         self,
@@ -166,10 +166,10 @@
     def _engine_ways(self, now, usable, demand):
         readers = self._subset([w for w in usable if w.phase == "prefill"], demand)
         runners = self._subset([w for w in usable if w.phase != "prefill"], demand)
-        ways = [self._alone(now, w, Part.DIRECT, demand) for w in runners]
+        plans = [self._alone(now, w, Part.DIRECT, demand) for w in runners]
         if readers:
-            short = [way for way in ways if way.run.read / DIRECT_TOKENS_PER_MS <= DIRECT_LONGEST_MS]
-            ways = short if runners else ways
+            short = [plan for plan in plans if plan.run.read / DIRECT_TOKENS_PER_MS <= DIRECT_LONGEST_MS]
+            plans = short if runners else plans
         home = min(readers, key=lambda w: _home_rank(w, demand)) if readers and demand.shared else None
         for reader in readers:
             read = self._read_step(now, reader, Part.PREFILL, demand, home=reader is home)
@@ -178,8 +178,8 @@
                 cost = read.forecast + move.forecast + HANDOVER_COST_MS
                 cost += self._crossing(reader) + self._crossing(runner)
                 cost += _move_crossing(reader, runner) + REREAD_COST_MS * read.reread
-                ways.append(Way((read, move), read.forecast + move.forecast, read.match, cost))
-        return ways
+                plans.append(RoutePlan((read, move), read.forecast + move.forecast, read.match, cost))
+        return plans
 
     def _subset(self, workers, demand):
         """A few of many: the homes of the prefix, and some at random."""
@@ -203,7 +203,7 @@
         if part is Part.DIRECT:
             cost += REREAD_COST_MS * step.reread
             cost += DIRECT_COST * (step.read + worker.ahead(step.rank)) / DIRECT_TOKENS_PER_MS
-        return Way((step,), step.forecast, step.match, cost)
+        return RoutePlan((step,), step.forecast, step.match, cost)
 
     def _read_step(self, now, worker, part, demand, home=False):
         matched = worker.matched(demand.parts)
@@ -314,7 +314,7 @@
         worker.awaited.pop(key, None)
         self._read_done(step)
         if failed:
-            worker.failed(now)
+            worker.record_failure(now)
             self.model.train(
                 step.part, step.run, step.wait, 0.0, step.use, step.match, max(elapsed, step.forecast)
             )
@@ -331,8 +331,8 @@
     return HANDOVER_COST_MS * (reader.zone != runner.zone)
 
 
-def _forecast(way):
-    return way.forecast
+def _forecast(plan):
+    return plan.forecast
 
 
 def _home_rank(worker, demand):
--- a/molespur/policy/tracking.py
+++ b/molespur/policy/tracking.py
@@ -152,7 +152,7 @@
         if not self.resting(now):
             self.rest.suspected, self.rest.until = True, now + FIRST_REST_MS
 
-    def failed(self, now, weight=1.0):
+    def record_failure(self, now, weight=1.0):
         """A call there has failed; several in a row let it rest, twice as long each time."""
         self.rest.faults += weight
         if self.rest.faults >= FAULTS and (self.rest.suspected or not self.resting(now)):
--- a/molespur/system/data_plane/client_call.py
+++ b/molespur/system/data_plane/client_call.py
@@ -19,7 +19,7 @@
 
 END_REASONS = {
     messages.Answer: EndReason.OWN_ANSWER,
-    messages.Cut: EndReason.WORKER_BROKE_OFF,
+    messages.AbortResponse: EndReason.WORKER_BROKE_OFF,
     messages.Finish: EndReason.WHOLE,
 }
 
@@ -65,7 +65,7 @@
         match action:
             case messages.Answer(kind):
                 await self.context.answer(self._send, kind)
-            case messages.Cut():
+            case messages.AbortResponse():
                 self._cut(self.reason)
         return self.reason
 
@@ -83,7 +83,7 @@
         match action:
             case messages.Read() | messages.Run():
                 self._start(action)
-            case messages.Abandon(attempt):
+            case messages.CancelAttempt(attempt):
                 self._abandon(attempt)
             case _ if not self._ended.done():
                 self.reason = END_REASONS[type(action)]
--- a/molespur/system/data_plane/exchange_messages.py
+++ b/molespur/system/data_plane/exchange_messages.py
@@ -115,7 +115,7 @@
 
 
 @dataclass(slots=True)
-class Abandon:
+class CancelAttempt:
     """End the call of an attempt: another one was faster."""
 
     attempt: int
@@ -129,7 +129,7 @@
 
 
 @dataclass(slots=True)
-class Cut:
+class AbortResponse:
     """Close the client's connection: its answer can't be ended."""
 
 
@@ -138,4 +138,4 @@
     """Nothing is left to do."""
 
 
-Action = Read | Run | Abandon | Answer | Cut | Finish
+Action = Read | Run | CancelAttempt | Answer | AbortResponse | Finish
--- a/molespur/system/data_plane/hedging.py
+++ b/molespur/system/data_plane/hedging.py
@@ -25,18 +25,18 @@
 
     def __init__(self, workers: Callable[[], Iterable[WorkerTrack]]):
         self._workers = workers
-        self._saved = 1.0
+        self._saved_hedges = 1.0
         self.outcomes: Counter[str] = Counter()
 
     def request(self) -> None:
         """A client's request for the service has come."""
-        self._saved = min(self._saved + SHARE, MOST_SAVED)
+        self._saved_hedges = min(self._saved_hedges + SHARE, MOST_SAVED)
 
     def refusal(self, now: float, silent: WorkerTrack) -> HedgeRefusal | None:
         """Why none may be begun beside a call to this worker now; None if one may."""
-        if self._most_rest(now):
+        if self._most_workers_silent(now):
             return HedgeRefusal.MOST_WORKERS_REST
-        if not silent.rests(now, REST_MS) and self._saved < 1.0:
+        if not silent.rests(now, REST_MS) and self._saved_hedges < 1.0:
             return HedgeRefusal.SHARE_USED
         return None
 
@@ -44,7 +44,7 @@
         """One was begun beside a call to this worker."""
         self.outcomes["begun"] += 1
         if not silent.rests(now, REST_MS):
-            self._saved -= 1.0
+            self._saved_hedges -= 1.0
 
     def won(self) -> None:
         """One has brought the next event or the answer before the silent attempt did."""
@@ -54,7 +54,7 @@
         """One was not begun."""
         self.outcomes[reason.value] += 1
 
-    def _most_rest(self, now: float) -> bool:
+    def _most_workers_silent(self, now: float) -> bool:
         at_work = [worker for worker in self._workers() if worker.unfinished]
         resting = sum(worker.rests(now, REST_MS) for worker in at_work)
         return len(at_work) >= LEAST_SAMPLE and resting > MOST_RESTING * len(at_work)
--- a/tests/system/test_exchange.py
+++ b/tests/system/test_exchange.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from molespur.policy.pair import Choice, Demand, EngineShape, Step, Way
+from molespur.policy.pair import Demand, EngineShape, RoutePlan, Selection, Step
 from molespur.policy.tracking import Part, WorkerTrack
 from molespur.system.data_plane import exchange_messages as machine
 from molespur.system.data_plane.exchange import Exchange
@@ -42,7 +42,7 @@
             return None
         run = step(runners[0], Part.DECODE if self.pair else Part.DIRECT)
         steps = (step(readers[0], Part.PREFILL), run) if self.pair and readers else (run,)
-        return Choice(Way(steps, self.forecast, 1.0, 40.0), self.meets)
+        return Selection(RoutePlan(steps, self.forecast, 1.0, 40.0), self.meets)
 
     def choose_decode(self, _now, workers, _demand, _source, avoid):
         runners = [w for w in workers if w.id not in avoid and w.phase == "decode"]
@@ -174,11 +174,11 @@
     goes_on(request, 10)
     more = fails(request, 20, Failure.MAY_HAVE_RUN)
     assert isinstance(more, machine.Run) and more.resume and more.step.worker.id == "d2"
-    assert fails(request, 30, Failure.MAY_HAVE_RUN) == machine.Cut()
+    assert fails(request, 30, Failure.MAY_HAVE_RUN) == machine.AbortResponse()
     fixed = exchange(pair=False)
     begin(fixed)
     goes_on(fixed, 10)
-    assert fails(fixed, 20, Failure.MAY_HAVE_RUN) == machine.Cut()
+    assert fails(fixed, 20, Failure.MAY_HAVE_RUN) == machine.AbortResponse()
 
 
 def test_no_worker_and_no_time_are_refused_with_a_promise():
@@ -232,7 +232,7 @@
     begin(request)
     hedge = only(silent(request, 700))
     assert isinstance(hedge, machine.Run) and hedge.step.worker.id == "d2" and hedge.hedge
-    assert set(request.open) == {1, 2} and len(request.granted) == 1
+    assert set(request.open_attempts) == {1, 2} and len(request.granted) == 1
     assert silent(request, 1400) == silent(request, 1500, 2) == [], "two are the most"
 
 
@@ -241,7 +241,7 @@
     request = exchange(pair=False, resumable=True, max_attempts=2)
     begin(request)
     silent(request, 700)
-    assert goes_on(request, 800, first) == [machine.Abandon(3 - first)]
+    assert goes_on(request, 800, first) == [machine.CancelAttempt(3 - first)]
     assert goes_on(request, 810, 3 - first) == [], "what was ended brings nothing more"
     assert request.handle(820, machine.AnswerEnded(3 - first)) == []
     assert request.handle(900, machine.AnswerEnded(first)) == [machine.Finish()]
@@ -254,8 +254,8 @@
     goes_on(request, 100)
     hedge = only(silent(request, 1300))
     assert hedge.resume and request.state is State.ANSWERING
-    assert goes_on(request, 1400, 1) == [machine.Abandon(2)], "the first has gone on after all"
-    assert fails(request, 1500, Failure.MAY_HAVE_RUN, 1) == machine.Cut(), "both attempts were used"
+    assert goes_on(request, 1400, 1) == [machine.CancelAttempt(2)], "the first has gone on after all"
+    assert fails(request, 1500, Failure.MAY_HAVE_RUN, 1) == machine.AbortResponse(), "both attempts were used"
 
 
 @pytest.mark.parametrize("failure", Failure)
@@ -264,7 +264,7 @@
     begin(request)
     silent(request, 700)
     assert request.handle(710, machine.AttemptFailed(2, failure)) == []
-    assert set(request.open) == {1} and request.state is State.OPEN
+    assert set(request.open_attempts) == {1} and request.state is State.OPEN
     goes_on(request, 800, 1)
     assert request.handle(900, machine.AnswerEnded(1)) == [machine.Finish()]
 
@@ -291,7 +291,7 @@
     begin(request)
     assert silent(request, 700) == []
     assert request.hedge_refusal is refusal and request.hedges.outcomes[refusal.value] == 1
-    assert set(request.open) == {1} and request.counted == 1
+    assert set(request.open_attempts) == {1} and request.counted == 1
     goes_on(request, 800)
     assert request.handle(900, machine.AnswerEnded(1)) == [machine.Finish()]
 
@@ -309,7 +309,7 @@
     second = only(silent(request, 500))
     assert isinstance(second, machine.Read) and second.step.worker.id == "p2"
     abandoned, run = request.handle(600, machine.PromptRead(1, "h1"))
-    assert abandoned == machine.Abandon(2)
+    assert abandoned == machine.CancelAttempt(2)
     assert (run.source.id, run.handle, run.attempt) == ("p1", "h1", 1)
     assert silent(request, 1500) == [], "what may not be repeated runs once"
     assert request.hedge_refusal is HedgeRefusal.NOT_REPEATABLE
@@ -321,7 +321,7 @@
     begin(request)
     silent(request, 500)
     abandoned, run = request.handle(600, machine.PromptRead(2, "h2"))
-    assert abandoned == machine.Abandon(1) and (run.source.id, run.handle) == ("p2", "h2")
+    assert abandoned == machine.CancelAttempt(1) and (run.source.id, run.handle) == ("p2", "h2")
 
 
 def test_no_run_begins_beside_a_reader_that_needs_the_only_one():
@@ -341,8 +341,8 @@
     known.append(worker("d2"))
     assert isinstance(only(silent(request, 900)), machine.Read)
     known.pop()
-    assert request.handle(1000, machine.PromptRead(2, "h2")) == [machine.Abandon(2)]
-    assert set(request.open) == {1}
+    assert request.handle(1000, machine.PromptRead(2, "h2")) == [machine.CancelAttempt(2)]
+    assert set(request.open_attempts) == {1}
 
 
 # -- Random histories --------------------------------------------------------------------------------
@@ -419,7 +419,7 @@
                     assert action.resume == (self.progressed is not None), (
                         "a part is neither lost nor doubled"
                     )
-                case machine.Abandon(number):
+                case machine.CancelAttempt(number):
                     self.reading.discard(number)
                     self.running.discard(number)
                 case _:
@@ -434,7 +434,7 @@
             case machine.Answer(kind):
                 assert self.progressed is None, "an answer of our own after a part of a worker's"
                 assert not (self.ran and ANSWERS[kind].promises_not_run)
-            case machine.Cut():
+            case machine.AbortResponse():
                 assert self.progressed is not None
             case machine.Finish():
                 assert self.progressed is not None
@@ -451,5 +451,5 @@
         ends[type(history.final)] += 1
         hedged += history.request.hedges.outcomes["begun"]
         won += history.request.hedges.outcomes["won"]
-    assert set(ends) == {machine.Answer, machine.Cut, machine.Finish}, ends
+    assert set(ends) == {machine.Answer, machine.AbortResponse, machine.Finish}, ends
     assert hedged > HISTORIES / 10 and won, (hedged, won)
--- a/tests/system/test_hedging.py
+++ b/tests/system/test_hedging.py
@@ -103,8 +103,8 @@
 def test_a_failure_counts_also_while_a_worker_is_suspected():
     worker = WorkerTrack("w", "10.0.0.1:80", "a", "decode", 64)
     worker.suspect(0.0)
-    worker.failed(10.0)
-    worker.failed(20.0)
+    worker.record_failure(10.0)
+    worker.record_failure(20.0)
     worker.heard(30.0)
     assert worker.resting(30.0), "a word refutes silence, not failures"
 
--- a/tests/system/test_pair_policy.py
+++ b/tests/system/test_pair_policy.py
@@ -27,21 +27,21 @@
 
 
 def choices(policy, workers, asked, count=200, now=0.0):
-    return [policy.choose(now, workers, asked).way for _ in range(count)]
+    return [policy.choose(now, workers, asked).plan for _ in range(count)]
 
 
 def test_a_long_prompt_is_read_apart_mostly_at_the_home_of_its_prefix():
-    ways = choices(PairPolicy("a", Random(1)), fleet(), demand(LONG))
-    assert all(way.prefill is not None for way in ways)
-    homes = [way.prefill.worker.id for way in ways]
+    plans = choices(PairPolicy("a", Random(1)), fleet(), demand(LONG))
+    assert all(plan.prefill_step is not None for plan in plans)
+    homes = [plan.prefill_step.worker.id for plan in plans]
     assert max(homes.count(name) for name in set(homes)) > 180
 
 
 def test_all_schedulers_have_the_same_home_for_a_prefix():
     homes = set()
     for seed in range(8):
-        ways = choices(PairPolicy("a", Random(seed)), fleet(), demand(LONG), 20)
-        names = [way.prefill.worker.id for way in ways]
+        plans = choices(PairPolicy("a", Random(seed)), fleet(), demand(LONG), 20)
+        names = [plan.prefill_step.worker.id for plan in plans]
         homes.add(max(set(names), key=names.count))
     assert len(homes) == 1
 
@@ -50,38 +50,38 @@
     policy, workers = PairPolicy("a", Random(2)), fleet()
     for track in workers[:4]:
         track.reads[1] = 8_000.0
-    ways = choices(policy, workers, demand(SHORT))
-    assert sum(way.prefill is None for way in ways) > 180
+    plans = choices(policy, workers, demand(SHORT))
+    assert sum(plan.prefill_step is None for plan in plans) > 180
 
 
 def test_a_long_read_does_not_hold_up_a_decode_worker_while_readers_are_there():
     policy, workers = PairPolicy("a", Random(3)), fleet()
     for track in workers[:4]:
         track.reads[1] = 20_000.0
-    assert all(way.prefill is not None for way in choices(policy, workers, demand(LONG)))
-    assert all(way.run.part is Part.DIRECT for way in choices(policy, workers[4:], demand(LONG), 20))
+    assert all(plan.prefill_step is not None for plan in choices(policy, workers, demand(LONG)))
+    assert all(plan.run.part is Part.DIRECT for plan in choices(policy, workers[4:], demand(LONG), 20))
 
 
 def test_a_running_stream_does_not_make_its_worker_look_late():
     policy, workers = PairPolicy("a", Random(4)), fleet()
     asked = demand(SHORT)
-    way = next(w for w in choices(policy, workers, asked) if w.prefill is None)
-    policy.begin(0.0, way.run, asked, 1)
-    policy.first_answer(40.0, way.run, asked, 1, 40.0)
-    track = way.run.worker
+    plan = next(w for w in choices(policy, workers, asked) if w.prefill_step is None)
+    policy.begin(0.0, plan.run, asked, 1)
+    policy.first_answer(40.0, plan.run, asked, 1, 40.0)
+    track = plan.run.worker
     assert track.overdue(5_000.0) == 0.0 and track.unfinished == 1
-    policy.ended(5_000.0, way.run, 1)
+    policy.ended(5_000.0, plan.run, 1)
     assert track.unfinished == 0 and track.reading == 0.0
 
 
 def test_a_worker_that_gives_no_answer_looks_late_and_is_avoided():
     policy, workers = PairPolicy("a", Random(5)), fleet()
     asked = demand(SHORT)
-    way = next(w for w in choices(policy, workers, asked) if w.prefill is None)
-    policy.begin(0.0, way.run, asked, 1)
+    plan = next(w for w in choices(policy, workers, asked) if w.prefill_step is None)
+    policy.begin(0.0, plan.run, asked, 1)
     later = demand(SHORT, 2_000.0)
-    chosen = [policy.choose(2_000.0, workers, later).way.run.worker.id for _ in range(100)]
-    assert way.run.worker.id not in chosen
+    chosen = [policy.choose(2_000.0, workers, later).plan.run.worker.id for _ in range(100)]
+    assert plan.run.worker.id not in chosen
 
 
 def test_reports_of_others_count_and_fade():
@@ -96,13 +96,13 @@
     policy, workers = PairPolicy("a", Random(6)), fleet()
     bad = workers[4]
     for _ in range(3):
-        bad.failed(0.0)
+        bad.record_failure(0.0)
     assert bad.resting(10.0) and not bad.resting(3_000.0)
-    ways = choices(policy, workers, demand(SHORT))
-    assert all(way.run.worker is not bad for way in ways)
+    plans = choices(policy, workers, demand(SHORT))
+    assert all(plan.run.worker is not bad for plan in plans)
     for track in workers:
         for _ in range(3):
-            track.failed(0.0)
+            track.record_failure(0.0)
     assert policy.choose(10.0, workers, demand(SHORT)) is not None
 
 
@@ -110,9 +110,9 @@
     policy, workers = PairPolicy("a", Random(7)), fleet()
     quiet = workers[4]
     quiet.silent = True
-    assert all(way.run.worker is not quiet for way in choices(policy, workers, demand(SHORT)))
+    assert all(plan.run.worker is not quiet for plan in choices(policy, workers, demand(SHORT)))
     quiet.heard_at = -100.0
-    assert any(way.run.worker is quiet for way in choices(policy, workers, demand(SHORT)))
+    assert any(plan.run.worker is quiet for plan in choices(policy, workers, demand(SHORT)))
 
 
 def test_the_model_learns_the_pace_of_each_part():
@@ -122,12 +122,12 @@
         now += 50.0
         asked = demand((("x" * 8, 10.0), (f"own{number}", 2_000.0)), now)
         choice = policy.choose(now, workers, asked)
-        step = choice.way.prefill or choice.way.run
+        step = choice.plan.prefill_step or choice.plan.run
         policy.begin(now, step, asked, number)
         policy.first_answer(now, step, asked, number, 3.0 * step.run + step.wait)
         policy.ended(now, step, number)
     asked = demand((("y" * 8, 10.0), ("own", 2_000.0)), now)
-    step = policy.choose(now, workers, asked).way.prefill
+    step = policy.choose(now, workers, asked).plan.prefill_step
     assert step.forecast > 1.8 * step.run
 
 
@@ -143,10 +143,10 @@
 
 def test_short_reads_go_first_and_hand_overs_before_any():
     policy, workers = PairPolicy("a", Random(9)), fleet()
-    ways = choices(policy, workers, demand(LONG), 20)
-    assert {way.run.rank for way in ways} == {0} and all(way.prefill.rank > 1 for way in ways)
+    plans = choices(policy, workers, demand(LONG), 20)
+    assert {plan.run.rank for plan in plans} == {0} and all(plan.prefill_step.rank > 1 for plan in plans)
     cold = demand((("z" * 8, 10.0), ("own3", 30_000.0)))
-    assert {way.prefill.rank for way in choices(policy, workers, cold, 20)} == {RANKS - 1}
+    assert {plan.prefill_step.rank for plan in choices(policy, workers, cold, 20)} == {RANKS - 1}
 
 
 def test_a_read_waits_for_what_is_as_urgent_and_for_what_has_begun():
@@ -183,7 +183,7 @@
     for track in workers[:3]:
         track.peer_reads[1] = 30_000.0
     asked = demand((("w" * 8, 10.0), ("own4", 4_000.0)))
-    assert {way.prefill.worker.id for way in choices(policy, workers, asked, 50)} == {"p3"}
+    assert {plan.prefill_step.worker.id for plan in choices(policy, workers, asked, 50)} == {"p3"}
 
 
 def test_a_move_between_zones_is_the_exception():
--- a/tests/system/wrong_process.py
+++ b/tests/system/wrong_process.py
@@ -25,7 +25,7 @@
     worker_call,
 )
 from molespur.system.data_plane import role as data_role
-from molespur.system.data_plane.exchange_messages import Cut
+from molespur.system.data_plane.exchange_messages import AbortResponse
 from molespur.system.rpc import molespur_pb2 as pb
 from molespur.system.shards import configuration, host
 from molespur.system.shards.configuration import PutOutcome
@@ -40,7 +40,7 @@
 
 
 def runs_again() -> None:
-    exchange.Exchange._repeatable = lambda self: True
+    exchange.Exchange._is_repeatable = lambda self: True
 
 
 def promises() -> None:
@@ -89,7 +89,7 @@
 def cuts_silent_streams() -> None:
     def wrong(self):
         if self.shared.answer.head_sent:
-            self.shared._carry_out(Cut())
+            self.shared._carry_out(AbortResponse())
 
     worker_call.WorkerCall._silent = wrong
 
