--- a/benchmarks/hedging.py
+++ b/benchmarks/hedging.py
@@ -84,18 +84,25 @@
 
     def install(self) -> None:
         """Put these ages in place of the multiples of the forecast."""
-        first, heard, shared = worker_call.WorkerCall._first_answer, worker_call.WorkerCall._heard, self
+        first, heard, shared = (
+            worker_call.WorkerCall._on_first_response,
+            worker_call.WorkerCall._on_bytes_received,
+            self,
+        )
 
         def first_answer(call):
             first(call)
-            insort(shared.ratios, (call.first_at - call.begun) / max(call.step.forecast, 1.0))
+            insort(shared.ratios, (call.first_response_at - call.started_at) / max(call.step.forecast, 1.0))
 
         def any_answer(call):
-            if call.first_at is not None:
-                insort(shared.pauses_ms, call.clock() - call.last_heard)
+            if call.first_response_at is not None:
+                insort(shared.pauses_ms, call.clock() - call.last_received_at)
             heard(call)
 
-        worker_call.WorkerCall._first_answer, worker_call.WorkerCall._heard = first_answer, any_answer
+        worker_call.WorkerCall._on_first_response, worker_call.WorkerCall._on_bytes_received = (
+            first_answer,
+            any_answer,
+        )
         worker_call.silence_age_s = self._age_s
 
     def _age_s(self, step, forecasts: float, least_ms: float) -> float:
@@ -111,8 +118,8 @@
         while True:
             await asyncio.sleep(self.EVERY_S)
             if len(self.pauses_ms) >= self.LEAST:
-                worker_call.PAUSES = 0.0
-                worker_call.LEAST_PAUSE_MS = max(self._at(self.pauses_ms), GAP_MS)
+                worker_call.SILENT_AFTER_GAPS = 0.0
+                worker_call.MIN_STREAM_SILENCE_MS = max(self._at(self.pauses_ms), GAP_MS)
 
 
 class Worker(ScriptedWorker):
--- a/molespur/system/data_plane/answer_checks.py
+++ b/molespur/system/data_plane/answer_checks.py
@@ -11,11 +11,11 @@
 
     `stamped`: it is to go to the client, so a success has to carry the worker's stamp.
     """
-    answered = head.get(ATTEMPT_ID)
+    response_attempt_id = head.get(ATTEMPT_ID)
     rejected = head.get(NOT_EXECUTED) is not None or head.status == 421
-    if rejected and answered in (attempt_id, None):
+    if rejected and response_attempt_id in (attempt_id, None):
         raise UpstreamError(Failure.REJECTED, f"status {head.status}")
-    if answered != attempt_id:  # a rejection of another request says nothing of this one
+    if response_attempt_id != attempt_id:  # a rejection of another request says nothing of this one
         raise UpstreamError(Failure.MAY_HAVE_RUN, "an answer to another request")
     if head.get(b"content-encoding") is not None:
         raise UpstreamError(Failure.MAY_HAVE_RUN, "an encoded body")
--- a/molespur/system/data_plane/client_answer.py
+++ b/molespur/system/data_plane/client_answer.py
@@ -10,7 +10,7 @@
 VERSIONS = b"versions"
 
 
-class ClientAnswer:
+class ClientResponse:
     """What has gone to the client so far; `send` is the server's (ASGI)."""
 
     def __init__(self, context: ServingContext, send, last_event_id: bytes):
@@ -28,7 +28,7 @@
         if head.get(VERSIONS) != self._versions:
             raise UpstreamError(Failure.MAY_HAVE_RUN, "the rest of a stream from other weights")
 
-    async def send_whole(self, head: Head, body: bytes) -> None:
+    async def send_complete(self, head: Head, body: bytes) -> None:
         """A worker's whole answer."""
         await self._send_head(head, len(body))
         await self._send({"type": "http.response.body", "body": body, "more_body": False})
--- a/molespur/system/data_plane/client_call.py
+++ b/molespur/system/data_plane/client_call.py
@@ -10,7 +10,7 @@
 from ..errors import ErrorKind
 from ..settings.configuration import Route, Service
 from . import exchange_messages as messages
-from .client_answer import ClientAnswer
+from .client_answer import ClientResponse
 from .client_request import ClientRequest
 from .endings import AnswerCut, EndReason
 from .exchange import Exchange
@@ -38,7 +38,7 @@
     ):
         self.context, self.request, self.route, self.service = context, request, route, service
         self.demand, self._send = demand, send
-        self.answer = ClientAnswer(context, send, request.last_event_id)
+        self.client_response = ClientResponse(context, send, request.last_event_id)
         self.reason: EndReason | None = None  # none while the answer goes on
         state = context.state
         self.exchange = Exchange(
@@ -64,15 +64,15 @@
             await self._end_calls()
         match action:
             case messages.Answer(kind):
-                await self.context.answer(self._send, kind)
+                await self.context.respond_with_error(self._send, kind)
             case messages.AbortResponse():
                 self._cut(self.reason)
         return self.reason
 
     @property
-    def contested(self) -> bool:
+    def is_racing(self) -> bool:
         """Whether more than one attempt is open."""
-        return self.exchange.contested
+        return self.exchange.is_racing
 
     def report(self, event: messages.Event) -> None:
         """Take an event and do what follows from it; nothing here waits."""
@@ -105,9 +105,9 @@
                 self._ended.set_exception(error)
             return
         finally:
-            self._note_memory(call)
+            self._update_held_handles(call)
         if isinstance(event, messages.AttemptFailed):
-            self._free(event.attempt)
+            self._free_held_handle(event.attempt)
         self.report(event)
 
     def _abandon(self, attempt: int) -> None:
@@ -115,10 +115,10 @@
         if not call.ended:
             call.overtaken()
             _cancel(call, task)
-        self._note_memory(call)
-        self._free(attempt)
+        self._update_held_handles(call)
+        self._free_held_handle(attempt)
 
-    def _note_memory(self, call: WorkerCall) -> None:
+    def _update_held_handles(self, call: WorkerCall) -> None:
         """What a call has read waits to be taken, or was taken by it."""
         if call.handle:
             self._held[call.attempt] = (call.step.worker.address, call.handle)
@@ -134,9 +134,9 @@
         if out:
             await asyncio.wait(out)
         for attempt in list(self._held):
-            self._free(attempt)
+            self._free_held_handle(attempt)
 
-    def _free(self, attempt: int) -> None:
+    def _free_held_handle(self, attempt: int) -> None:
         held = self._held.pop(attempt, None)
         if held is not None:
             self.context.free_handle(*held, self.service)
@@ -147,16 +147,16 @@
         """The time that the client or the route allows is over.  Raises AnswerCut."""
         client_first = self.request.deadline_ms <= self.route.timeout_ms
         reason = EndReason.CLIENT_DEADLINE if client_first else EndReason.ROUTE_TIMEOUT
-        if self.answer.head_sent:
+        if self.client_response.head_sent:
             self._cut(reason)
         ran = self.exchange.may_have_run
         kind = ErrorKind.OUT_OF_TIME if ran else ErrorKind.OUT_OF_TIME_UNSENT
-        await self.context.answer(self._send, kind)
+        await self.context.respond_with_error(self._send, kind)
         return reason
 
     def _cut(self, reason: EndReason) -> NoReturn:
         now, refusal = self.context.clock(), self.exchange.hedge_refusal
-        heard = max((call.last_heard for call in self._worker_calls.values()), default=self._begun)
+        heard = max((call.last_received_at for call in self._worker_calls.values()), default=self._begun)
         logging.info(
             "answer cut after %.0f ms on route %s: %s; %d attempts, silent for %.0f ms, no second one: %s",
             now - self._begun,
--- a/molespur/system/data_plane/exchange.py
+++ b/molespur/system/data_plane/exchange.py
@@ -102,7 +102,7 @@
         return self.runs > 0 or any(not attempt.in_prefill for attempt in self.open_attempts.values())
 
     @property
-    def contested(self) -> bool:
+    def is_racing(self) -> bool:
         """Whether more than one attempt is open."""
         return len(self.open_attempts) > 1
 
--- a/molespur/system/data_plane/ingress.py
+++ b/molespur/system/data_plane/ingress.py
@@ -64,7 +64,7 @@
             reason = await self._until_ended(call, receive)
         except FleetError as error:
             reason = EndReason.OWN_ANSWER
-            await self.answer(send, self._refusal(error.kind))
+            await self.respond_with_error(send, self._refusal(error.kind))
         except ClientGone:
             reason = EndReason.CLIENT_GONE
         except AnswerCut as cut:
--- a/molespur/system/data_plane/serving_context.py
+++ b/molespur/system/data_plane/serving_context.py
@@ -24,7 +24,7 @@
         self.counts = RequestCounts()
         self._background: set[asyncio.Task] = set()
 
-    async def answer(self, send, kind: ErrorKind) -> None:
+    async def respond_with_error(self, send, kind: ErrorKind) -> None:
         """Answer by ourselves."""
         answer = ANSWERS[kind]
         self.counts.answers[str(answer.status), kind.value] += 1
--- a/molespur/system/data_plane/worker_call.py
+++ b/molespur/system/data_plane/worker_call.py
@@ -14,7 +14,7 @@
 from ..faults import FaultPoint, strike
 from ..settings.configuration import STREAMING, Route, Service
 from .answer_checks import check_head, is_framed, read_handle
-from .client_answer import ClientAnswer
+from .client_answer import ClientResponse
 from .client_request import ClientRequest
 from .events import EventFilter, follows
 from .exchange_messages import (
@@ -35,8 +35,8 @@
 PREFILL_SILENCE = 4.0, 400.0  # forecasts, and least ms, after which a prefill call counts as silent
 RUN_SILENCE = 4.0, 700.0  # the same for a call for the answer, until its first event
 MOST_DOUBT = 3.0  # with few schedulers heard, forecasts are poor: so many times longer at most
-PAUSES = 4.0  # allowed pauses after which a stream counts as silent,
-LEAST_PAUSE_MS = 800.0  # and this long at least
+SILENT_AFTER_GAPS = 4.0  # allowed pauses after which a stream counts as silent,
+MIN_STREAM_SILENCE_MS = 800.0  # and this long at least
 HEDGE_PRIORITY = 6  # after all requests that are no second attempt: their ranks are 0 to 5
 
 
@@ -48,13 +48,13 @@
     route: Route
     service: Service
     demand: Demand
-    answer: ClientAnswer
+    client_response: ClientResponse
 
     def report(self, event: Event) -> None:
         """Take an event at once, and do what follows from it."""
 
     @property
-    def contested(self) -> bool:
+    def is_racing(self) -> bool:
         """Whether another attempt is open beside this one."""
 
 
@@ -70,9 +70,9 @@
         self.attempt, self.step = action.attempt, action.step
         self.clock: Callable[[], float] = shared.context.clock
         self.policy = shared.context.state.policy
-        self.begun = self.clock()
-        self.last_heard = self.begun  # when something of it came last, ms
-        self.first_at: float | None = None  # when its first answer came, ms
+        self.started_at = self.clock()
+        self.last_received_at = self.started_at  # when something of it came last, ms
+        self.first_response_at: float | None = None  # when its first answer came, ms
         self.silence: SilenceTimer | None = None
         self.goes_on = False  # what it brings is the client's answer
         self.started = self.ended = False
@@ -84,9 +84,9 @@
 
     def _begin(self) -> None:
         state, step = self.shared.context.state, self.step
-        self.policy.begin(self.begun, step, self.shared.demand, self.key)
+        self.policy.begin(self.started_at, step, self.shared.demand, self.key)
         meter = state.meter(self.shared.service.name)
-        meter.read(self.begun, step.read)
+        meter.read(self.started_at, step.read)
         meter.running += step.part is not Part.PREFILL
         state.peer_work.placed(step.worker, self.shared.demand.shared)
         state.peer_work.touch(step.worker)
@@ -114,17 +114,23 @@
         now, step = self.clock(), self.step
         self.shared.context.state.meter(self.shared.service.name).running -= step.part is not Part.PREFILL
         self.shared.context.counts.calls[step.part.value, outcome] += 1
-        self.policy.ended(now, step, self.key, failed, now - self.begun)
+        self.policy.ended(now, step, self.key, failed, now - self.started_at)
         self.shared.context.state.peer_work.touch(step.worker)
-        first = self.first_at - self.begun if self.first_at is not None else float("nan")
+        first = (
+            self.first_response_at - self.started_at if self.first_response_at is not None else float("nan")
+        )
         logging.vlog(1, "%s: %s at %s: run %.0f wait %.0f forecast %.0f, first answer %.0f, all %.0f ms",
                      self.shared.route.name, step.part.value, step.worker.id, *self.expected,
-                     first, now - self.begun)  # fmt: skip
+                     first, now - self.started_at)  # fmt: skip
 
     def overtaken(self) -> None:
         """Another attempt was faster: note what this tells of the worker, before the call is cancelled."""
         self.policy.overtaken(
-            self.clock(), self.step, self.begun, self.last_heard, answered=self.first_at is not None
+            self.clock(),
+            self.step,
+            self.started_at,
+            self.last_received_at,
+            answered=self.first_response_at is not None,
         )
 
     def _name(self) -> str:
@@ -139,19 +145,19 @@
 
     def _watch_silence(self, forecasts: float, least_ms: float) -> None:
         age_s = silence_age_s(self.step, forecasts, least_ms)
-        self.silence = SilenceTimer(age_s, self._silent)
+        self.silence = SilenceTimer(age_s, self._on_silence)
 
-    def _silent(self) -> None:
+    def _on_silence(self) -> None:
         self.shared.report(AttemptSilent(self.attempt))
 
-    def _heard(self) -> None:
+    def _on_bytes_received(self) -> None:
         """Bytes of the answer have come."""
-        self.last_heard = self.clock()
-        self.step.worker.heard(self.last_heard)
+        self.last_received_at = self.clock()
+        self.step.worker.heard(self.last_received_at)
 
-    def _first_answer(self) -> None:
-        self.first_at = now = self.clock()
-        self.policy.first_answer(now, self.step, self.shared.demand, self.key, now - self.begun)
+    def _on_first_response(self) -> None:
+        self.first_response_at = now = self.clock()
+        self.policy.first_answer(now, self.step, self.shared.demand, self.key, now - self.started_at)
         self.shared.context.state.peer_work.touch(self.step.worker)
 
     # -- The call ----------------------------------------------------------------------------------
@@ -200,8 +206,8 @@
         if response.head.status != 200:
             raise UpstreamError(Failure.MAY_HAVE_RUN, f"status {response.head.status}")
         self.handle = read_handle(body)
-        self._heard()
-        self._first_answer()
+        self._on_bytes_received()
+        self._on_first_response()
         strike(FaultPoint.AFTER_PREFILL)
         return PromptRead(self.attempt, self.handle)
 
@@ -210,7 +216,7 @@
         extra = []
         if action.source is not None:
             extra.append((b"Kv-From", f"{action.source.address}/{action.handle}".encode()))
-        last_id = self.shared.answer.last_event_id
+        last_id = self.shared.client_response.last_event_id
         if action.resume:
             if not last_id:
                 raise UpstreamError(Failure.NOT_SENT, "a stream whose events have no ids can't be taken up")
@@ -221,7 +227,7 @@
         self.taken_up = True
         try:
             strike(FaultPoint.AFTER_HEAD)
-            self.shared.answer.check_continues(response.head)
+            self.shared.client_response.check_continues(response.head)
             if route.type == STREAMING and 200 <= response.head.status < 300:
                 return await self._relay_events(response, last_id)
             return await self._relay_whole(response)
@@ -235,35 +241,35 @@
         head = response.head
         body = await response.read()
         if not is_framed(head):
-            raise UpstreamError(Failure.MAY_HAVE_RUN, "an answer without framing may be cut short")
-        self._heard()
-        self._first_answer()
-        if head.status >= 400 and self.shared.contested:  # the other attempt may do better
+            raise UpstreamError(Failure.MAY_HAVE_RUN, "response without framing headers may be truncated")
+        self._on_bytes_received()
+        self._on_first_response()
+        if head.status >= 400 and self.shared.is_racing:  # the other attempt may do better
             raise UpstreamError(Failure.MAY_HAVE_RUN, f"status {head.status} beside another attempt")
         self._goes_on()
-        await self.shared.answer.send_whole(head, body)
+        await self.shared.client_response.send_complete(head, body)
         return AnswerEnded(self.attempt)
 
     async def _relay_events(self, response: UpstreamResponse, last_id: bytes) -> Event:
         """A stream: each whole event goes on as it comes."""
-        pause_s = max(PAUSES * self.shared.route.gap_aim_ms, LEAST_PAUSE_MS) / 1000.0
-        head, answer = response.head, self.shared.answer
+        pause_s = max(SILENT_AFTER_GAPS * self.shared.route.gap_aim_ms, MIN_STREAM_SILENCE_MS) / 1000.0
+        head, answer = response.head, self.shared.client_response
         events = EventFilter(last_id, head.get(b"versions"))
         fresh = not self.action.resume
         async for chunk in response.chunks():
-            self._heard()
-            if self.first_at is None:
-                self._first_answer()
+            self._on_bytes_received()
+            if self.first_response_at is None:
+                self._on_first_response()
             if self.silence is not None:
                 self.silence.heard(pause_s)
-            whole = events.feed(chunk)
-            if not whole:
+            complete_events = events.feed(chunk)
+            if not complete_events:
                 continue
             if not fresh:
                 fresh = True
-                if not follows(whole, last_id):
+                if not follows(complete_events, last_id):
                     raise UpstreamError(Failure.MAY_HAVE_RUN, "events that the client has already")
-            await self._forward(head, whole, events)
+            await self._forward(head, complete_events, events)
             strike(FaultPoint.BETWEEN_EVENTS)
         if not is_framed(head):
             raise UpstreamError(Failure.MAY_HAVE_RUN, "a stream without framing may be cut short")
@@ -274,15 +280,15 @@
 
     def _goes_on(self) -> None:
         """Tell it before the next bytes go to the client: an attempt that is overtaken ends first."""
-        if not self.goes_on or self.shared.contested:
+        if not self.goes_on or self.shared.is_racing:
             self.goes_on = True
             self.shared.report(AttemptProgress(self.attempt))
 
-    async def _forward(self, head: Head, whole: bytes, events: EventFilter) -> None:
+    async def _forward(self, head: Head, complete_events: bytes, events: EventFilter) -> None:
         self._goes_on()
         if self.silence is not None:
             self.silence.hold()
-        await self.shared.answer.send_events(head, whole, events)
+        await self.shared.client_response.send_events(head, complete_events, events)
         if self.silence is not None:
             self.silence.release()
 
--- a/tests/system/test_data_plane_wire.py
+++ b/tests/system/test_data_plane_wire.py
@@ -388,7 +388,7 @@
 
 
 def test_a_stalled_stream_that_may_be_resumed_goes_on_elsewhere(monkeypatch):
-    monkeypatch.setattr("molespur.system.data_plane.worker_call.LEAST_PAUSE_MS", 30.0)
+    monkeypatch.setattr("molespur.system.data_plane.worker_call.MIN_STREAM_SILENCE_MS", 30.0)
 
     async def scenario():
         def stall(request):
--- a/tests/system/wrong_process.py
+++ b/tests/system/wrong_process.py
@@ -48,13 +48,13 @@
 
 
 def answers_others() -> None:
-    send, kept = client_answer.ClientAnswer.send_whole, []
+    send, kept = client_answer.ClientResponse.send_complete, []
 
     async def wrong(self, head, body):
         kept.append((head, body))
         await send(self, *kept[-2 if len(kept) % 5 == 0 else -1])
 
-    client_answer.ClientAnswer.send_whole = wrong
+    client_answer.ClientResponse.send_complete = wrong
 
 
 def drops_events() -> None:
@@ -88,10 +88,10 @@
 
 def cuts_silent_streams() -> None:
     def wrong(self):
-        if self.shared.answer.head_sent:
+        if self.shared.client_response.head_sent:
             self.shared._carry_out(AbortResponse())
 
-    worker_call.WorkerCall._silent = wrong
+    worker_call.WorkerCall._on_silence = wrong
 
 
 def keeps_its_first_configuration() -> None:
@@ -197,7 +197,7 @@
         init(self, shared, action)
 
     worker_call.WorkerCall.__init__ = wrong
-    client_call.ClientCall._free = lambda self, attempt: None
+    client_call.ClientCall._free_held_handle = lambda self, attempt: None
     ingress.Ingress.free_handle = lambda self, *_: None
 
 
