--- a/benchmarks/hedging.py
+++ b/benchmarks/hedging.py
@@ -92,7 +92,9 @@
 
         def first_answer(call):
             first(call)
-            insort(shared.ratios, (call.first_response_at - call.started_at) / max(call.step.forecast, 1.0))
+            insort(
+                shared.ratios, (call.first_response_at - call.started_at) / max(call.step.forecast_ms, 1.0)
+            )
 
         def any_answer(call):
             if call.first_response_at is not None:
@@ -108,7 +110,7 @@
     def _age_s(self, step, forecasts: float, least_ms: float) -> float:
         if len(self.ratios) < self.LEAST:
             return self._plain(step, forecasts, least_ms)
-        return max(self._at(self.ratios) * step.forecast, GAP_MS) / 1000.0
+        return max(self._at(self.ratios) * step.forecast_ms, GAP_MS) / 1000.0
 
     def _at(self, ordered: list[float]) -> float:
         return ordered[int(self.QUANTILE * len(ordered))]
@@ -212,8 +214,8 @@
     for ingress in ingresses:
         node = ingress.state.settings.node_name
         peers = PeerSocket(addresses[node], ingress.state.peer_work, clock)
-        peers.schedulers = lambda: len(ingresses)
-        peers.name_peers(peers_of(node, addresses))
+        peers.count_schedulers = lambda: len(ingresses)
+        peers.set_peers(peers_of(node, addresses))
         stack.callback(asyncio.create_task(peers.run()).cancel)
 
 
--- a/benchmarks/peer_exchange.py
+++ b/benchmarks/peer_exchange.py
@@ -13,7 +13,7 @@
 
 from molespur.policy.tracking import WorkerTrack
 from molespur.system.data_plane.peer_work import PeerWorkTable, worker_hash
-from molespur.system.data_plane.peers import FULL_RATE_PEERS, INTERVAL_S
+from molespur.system.data_plane.peers import MAX_FULL_RATE_PEERS, SEND_INTERVAL_S
 
 TURNS = 400
 OPEN_CALLS = 16  # unfinished calls of one scheduler
@@ -30,16 +30,16 @@
     """A call begins at a worker, the oldest ends; each tenth places a prefix."""
     track, tokens = random.choice(tracks), float(random.randrange(9000))
     track.unfinished += 1
-    track.reads[2] += tokens
-    table.touch(track)
+    track.prefill_tokens[2] += tokens
+    table.mark_changed(track)
     open_calls.append((track, tokens))
     if len(open_calls) > OPEN_CALLS:
         ended, read = open_calls.popleft()
         ended.unfinished -= 1
-        ended.reads[2] -= read
-        table.touch(ended)
+        ended.prefill_tokens[2] -= read
+        table.mark_changed(ended)
     if random.random() < 0.5:
-        table.placed(track, (("5c1e07a2", 800.0), ("91bd3f06", 410.0)))
+        table.record_placed(track, (("5c1e07a2", 800.0), ("91bd3f06", 410.0)))
 
 
 def main() -> None:
@@ -52,7 +52,7 @@
     options = parser.parse_args()
     random = Random(1)
     (sender, tracks), (receiver, _) = scheduler("a", options.workers), scheduler("b", options.workers)
-    interval = INTERVAL_S * max(1.0, options.peers / FULL_RATE_PEERS)
+    interval = SEND_INTERVAL_S * max(1.0, options.peers / MAX_FULL_RATE_PEERS)
     changes = max(round(CALLS_A_SECOND * interval), 1)
     open_calls: deque = deque()
     made_s = taken_s = 0.0
@@ -67,7 +67,7 @@
         for datagram in datagrams:
             sizes.append(len(datagram))
             began = time.perf_counter()
-            receiver.take(now, datagram)
+            receiver.receive(now, datagram)
             taken_s += time.perf_counter() - began
     turns_a_second, each = 1.0 / interval, len(sizes) / TURNS
     share = turns_a_second * (made_s / TURNS + options.peers * each * taken_s / len(sizes))
--- a/molespur/policy/pair.py
+++ b/molespur/policy/pair.py
@@ -76,7 +76,7 @@
     wait: float
     use: float
     match: float
-    forecast: float
+    forecast_ms: float
     read: float = 0.0
     rank: int = 0  # place in a worker's order, 0 first: hand-overs, then short reads before long ones
     reread: float = 0.0  # shared tokens of `read` that another worker has probably read
@@ -87,7 +87,7 @@
     """How a request could be served."""
 
     steps: tuple[Step, ...]
-    forecast: float
+    forecast_ms: float
     match: float
     cost: float
 
@@ -151,7 +151,7 @@
         steps = [self._handover(now, source, w, demand) for w in usable]
         if not steps:
             return None
-        costs = [s.forecast + self._crossing(s.worker) + _move_crossing(source, s.worker) for s in steps]
+        costs = [s.forecast_ms + self._crossing(s.worker) + _move_crossing(source, s.worker) for s in steps]
         return draw(self.random, steps, costs)
 
     def _usable(self, now, workers, avoid):
@@ -175,10 +175,10 @@
             read = self._read_step(now, reader, Part.PREFILL, demand, home=reader is home)
             for runner in runners:
                 move = self._handover(now, reader, runner, demand)
-                cost = read.forecast + move.forecast + HANDOVER_COST_MS
+                cost = read.forecast_ms + move.forecast_ms + HANDOVER_COST_MS
                 cost += self._crossing(reader) + self._crossing(runner)
                 cost += _move_crossing(reader, runner) + REREAD_COST_MS * read.reread
-                plans.append(RoutePlan((read, move), read.forecast + move.forecast, read.match, cost))
+                plans.append(RoutePlan((read, move), read.forecast_ms + move.forecast_ms, read.match, cost))
         return plans
 
     def _subset(self, workers, demand):
@@ -199,11 +199,11 @@
             step = self._plain_step(now, worker, demand)
         else:
             step = self._read_step(now, worker, part, demand)
-        cost = step.forecast + self._crossing(worker)
+        cost = step.forecast_ms + self._crossing(worker)
         if part is Part.DIRECT:
             cost += REREAD_COST_MS * step.reread
             cost += DIRECT_COST * (step.read + worker.ahead(step.rank)) / DIRECT_TOKENS_PER_MS
-        return RoutePlan((step,), step.forecast, step.match, cost)
+        return RoutePlan((step,), step.forecast_ms, step.match, cost)
 
     def _read_step(self, now, worker, part, demand, home=False):
         matched = worker.matched(demand.parts)
@@ -275,18 +275,18 @@
         if not worker.unfinished:
             worker.busy_since = now
         worker.unfinished += 1
-        worker.awaited[key] = now + DUE_FORECASTS * step.forecast + DUE_SLACK_MS
-        worker.reads[step.rank] += step.read
+        worker.response_due_at[key] = now + DUE_FORECASTS * step.forecast_ms + DUE_SLACK_MS
+        worker.prefill_tokens[step.rank] += step.read
         if step.part is not Part.PLAIN:
             worker.remember(demand.parts)
 
     def first_answer(self, now: float, step: Step, demand: Demand, key, elapsed: float) -> None:
         """The prompt has been read, or the first event or whole answer has come, after `elapsed` ms."""
-        step.worker.awaited.pop(key, None)
+        step.worker.response_due_at.pop(key, None)
         self._read_done(step)
-        step.worker.served(now, step.part, step.forecast, elapsed)
+        step.worker.served(now, step.part, step.forecast_ms, elapsed)
         self.model.train(
-            step.part, step.run, step.wait, 0.0, step.use, step.match, min(elapsed, 10 * step.forecast)
+            step.part, step.run, step.wait, 0.0, step.use, step.match, min(elapsed, 10 * step.forecast_ms)
         )
         if step.part is Part.PLAIN:
             run = self.plain_run.setdefault(demand.route, PLAIN_RUN_MS)
@@ -304,24 +304,24 @@
         """
         if step.worker.heard_at <= last_heard:
             step.worker.suspect(now)
-        elif not answered and now - begun > step.forecast:
-            step.worker.took(step.part, step.forecast, now - begun)
+        elif not answered and now - begun > step.forecast_ms:
+            step.worker.took(step.part, step.forecast_ms, now - begun)
 
     def ended(self, now: float, step: Step, key, failed: bool = False, elapsed: float = 0.0) -> None:
         """A call is over, one way or another."""
         worker = step.worker
         worker.unfinished -= 1
-        worker.awaited.pop(key, None)
+        worker.response_due_at.pop(key, None)
         self._read_done(step)
         if failed:
             worker.record_failure(now)
             self.model.train(
-                step.part, step.run, step.wait, 0.0, step.use, step.match, max(elapsed, step.forecast)
+                step.part, step.run, step.wait, 0.0, step.use, step.match, max(elapsed, step.forecast_ms)
             )
 
     @staticmethod
     def _read_done(step):
-        reads = step.worker.reads
+        reads = step.worker.prefill_tokens
         reads[step.rank] = max(reads[step.rank] - step.read, 0.0)
         step.read = 0.0
 
@@ -332,7 +332,7 @@
 
 
 def _forecast(plan):
-    return plan.forecast
+    return plan.forecast_ms
 
 
 def _home_rank(worker, demand):
--- a/molespur/policy/tracking.py
+++ b/molespur/policy/tracking.py
@@ -65,12 +65,16 @@
     usable: bool = True
     silent: bool = False
     capacity_tokens: float = 0.0
-    reads: list = field(default_factory=lambda: [0.0] * RANKS)  # own prompt tokens to be read there, by rank
-    peer_reads: list = field(default_factory=lambda: [0.0] * RANKS)  # the same of schedulers that tell
+    prefill_tokens: list = field(
+        default_factory=lambda: [0.0] * RANKS
+    )  # own prompt tokens to be read there, by rank
+    peer_prefill_tokens: list = field(
+        default_factory=lambda: [0.0] * RANKS
+    )  # the same of schedulers that tell
     peer_running: float = 0.0  # unfinished calls of schedulers that tell
     peer_scale: float = 0.0  # schedulers for each that tells; 0: none tells, so that reports have to do
     unfinished: int = 0  # own calls there
-    awaited: OrderedDict = field(
+    response_due_at: OrderedDict = field(
         default_factory=OrderedDict
     )  # own call without a first answer -> when it is due
     report: Report = field(default_factory=Report)
@@ -117,11 +121,11 @@
     @property
     def reading(self):
         """Own prompt tokens to be read there."""
-        return sum(self.reads)
+        return sum(self.prefill_tokens)
 
     def ahead(self, rank):
         """Prompt tokens that are read there before a new read of this rank."""
-        pairs = zip(self.reads, self.peer_reads, strict=True)
+        pairs = zip(self.prefill_tokens, self.peer_prefill_tokens, strict=True)
         outstanding = [own + self.peer_scale * peers for own, peers in pairs]
         first, later = sum(outstanding[: rank + 1]), outstanding[rank + 1 :]
         in_progress = max(map(min, later, TYPICAL_READ_TOKENS[rank + 1 :]), default=0.0)
@@ -129,9 +133,9 @@
 
     def overdue(self, now):
         """By how much the oldest call there that has no answer yet is late."""
-        if not self.awaited:
+        if not self.response_due_at:
             return 0.0
-        return max(now - next(iter(self.awaited.values())), 0.0)
+        return max(now - next(iter(self.response_due_at.values())), 0.0)
 
     def resting(self, now):
         """Whether it is spared now, for its failures or its silence."""
--- a/molespur/system/data_plane/exchange.py
+++ b/molespur/system/data_plane/exchange.py
@@ -160,7 +160,7 @@
         """Whether the best forecast leaves a new request no chance, or the lowest priority no good one."""
         if self.counted or self.runs:
             return False
-        demand, forecast = self.demand, selection.plan.forecast
+        demand, forecast = self.demand, selection.plan.forecast_ms
         if now + forecast > demand.deadline_at:
             return True
         late = forecast > LOWEST_PRIORITY_AIMS * (demand.aim_at - now)
@@ -199,7 +199,7 @@
             return HedgeRefusal.NO_WORKER
         if silent.in_prefill and selection.plan.prefill_step is None and runs_left < 2:
             return HedgeRefusal.NO_ATTEMPT  # the silent one needs the last run for itself
-        if now + max(selection.plan.forecast, LEAST_TIME_MS) > self.demand.deadline_at:
+        if now + max(selection.plan.forecast_ms, LEAST_TIME_MS) > self.demand.deadline_at:
             return HedgeRefusal.NO_TIME
         refusal = self.hedges.refusal(now, silent.step.worker)
         if refusal is not None:
--- a/molespur/system/data_plane/peer_work.py
+++ b/molespur/system/data_plane/peer_work.py
@@ -59,11 +59,11 @@
 
     # -- Own work ------------------------------------------------------------------------------
 
-    def touch(self, track: WorkerTrack) -> None:
+    def mark_changed(self, track: WorkerTrack) -> None:
         """Own work at a worker has changed."""
         self._touched.add(worker_hash(track.id))
 
-    def placed(self, track: WorkerTrack, parts: Iterable[tuple[str, float]]) -> None:
+    def record_placed(self, track: WorkerTrack, parts: Iterable[tuple[str, float]]) -> None:
         """Shared parts of a prompt have been sent to a worker."""
         worker = worker_hash(track.id)
         self._placed.extend(pb.PlacedPart(worker=worker, part=p, tokens=int(t)) for p, t in parts)
@@ -90,7 +90,7 @@
         track = self.workers.get(worker)
         if track is None:
             return Work()
-        return Work(track.unfinished, tuple(int(tokens) for tokens in track.reads))
+        return Work(track.unfinished, tuple(int(tokens) for tokens in track.prefill_tokens))
 
     def _cut(self, changed: list[pb.WorkerWork], whole: bool) -> list[bytes]:
         """Messages small enough for a datagram each; one that is whole stands alone."""
@@ -108,7 +108,7 @@
 
     # -- Others' work --------------------------------------------------------------------------
 
-    def take(self, now: float, data: bytes) -> None:
+    def receive(self, now: float, data: bytes) -> None:
         """A datagram of another scheduler has come."""
         try:
             message = pb.PeerWork.FromString(data)
@@ -150,8 +150,8 @@
         if track is not None:
             track.peer_running = max(track.peer_running + work.running - before.running, 0.0)
             for rank in range(RANKS):
-                changed = track.peer_reads[rank] + work.reads[rank] - before.reads[rank]
-                track.peer_reads[rank] = max(changed, 0.0)
+                changed = track.peer_prefill_tokens[rank] + work.reads[rank] - before.reads[rank]
+                track.peer_prefill_tokens[rank] = max(changed, 0.0)
         if work != Work():
             peer.work[worker] = work
 
--- a/molespur/system/data_plane/peers.py
+++ b/molespur/system/data_plane/peers.py
@@ -7,8 +7,8 @@
 
 from .peer_work import PeerWorkTable
 
-INTERVAL_S = 0.04
-FULL_RATE_PEERS = 8  # with more peers own work is told less often, so that datagrams stay as many
+SEND_INTERVAL_S = 0.04
+MAX_FULL_RATE_PEERS = 8  # with more peers own work is told less often, so that datagrams stay as many
 SETTLE_TURNS = 5  # turns between looks for peers that have fallen silent
 MAX_DATAGRAM = 4096
 
@@ -19,10 +19,10 @@
     def __init__(self, address: str, table: PeerWorkTable, clock: Callable[[], float]):
         self.address, self.table, self.clock = address, table, clock
         self.peers: dict[tuple[str, int], None] = {}
-        self.schedulers: Callable[[], int] = lambda: 0
+        self.count_schedulers: Callable[[], int] = lambda: 0
         self._transport: asyncio.DatagramTransport | None = None
 
-    def name_peers(self, addresses: list[str]) -> None:
+    def set_peers(self, addresses: list[str]) -> None:
         """These are the peers from now on."""
         split = [address.rpartition(":") for address in addresses if address != self.address]
         self.peers = {(host, int(port)): None for host, _, port in split}
@@ -32,7 +32,7 @@
         if source not in self.peers or len(data) > MAX_DATAGRAM:
             self.table.dropped["stranger"] += 1
             return
-        self.table.take(self.clock(), data)
+        self.table.receive(self.clock(), data)
 
     def error_received(self, error: Exception) -> None:
         """A peer's port is closed (asyncio callback): it will be named no more before long."""
@@ -49,11 +49,11 @@
             await asyncio.Event().wait()
         turn = 0
         while True:
-            await asyncio.sleep(INTERVAL_S * max(1.0, len(self.peers) / FULL_RATE_PEERS))
+            await asyncio.sleep(SEND_INTERVAL_S * max(1.0, len(self.peers) / MAX_FULL_RATE_PEERS))
             turn += 1
             now = self.clock()
             if turn % SETTLE_TURNS == 0:
-                self.table.settle(now, self.schedulers())
+                self.table.settle(now, self.count_schedulers())
             if not self.peers:
                 continue
             for datagram in self.table.datagrams(now):
--- a/molespur/system/data_plane/role.py
+++ b/molespur/system/data_plane/role.py
@@ -39,8 +39,8 @@
         self.ingress = Ingress(self.state, self.upstreams, clock, self.follower)
         self.reports = ReportPoller(self.state, self.upstreams, clock, random)
         self.peers = PeerSocket(settings.peer_address, self.state.peer_work, clock)
-        self.peers.schedulers = lambda: self.follower.schedulers
-        self.follower.on_peers = self.peers.name_peers
+        self.peers.count_schedulers = lambda: self.follower.schedulers
+        self.follower.on_peers = self.peers.set_peers
         self.follower.configuration_version = self.state.configuration_version
         self.stopping = False
 
--- a/molespur/system/data_plane/worker_call.py
+++ b/molespur/system/data_plane/worker_call.py
@@ -79,7 +79,7 @@
         self.handle = ""  # of the memory that it has read apart
         self.taken_up = False  # the memory that was read apart has been taken by this call's worker
         self.key = next(shared.context.keys)
-        self.expected = (self.step.run, self.step.wait, self.step.forecast)
+        self.expected = (self.step.run, self.step.wait, self.step.forecast_ms)
         self._begin()
 
     def _begin(self) -> None:
@@ -88,8 +88,8 @@
         meter = state.meter(self.shared.service.name)
         meter.read(self.started_at, step.read)
         meter.running += step.part is not Part.PREFILL
-        state.peer_work.placed(step.worker, self.shared.demand.shared)
-        state.peer_work.touch(step.worker)
+        state.peer_work.record_placed(step.worker, self.shared.demand.shared)
+        state.peer_work.mark_changed(step.worker)
 
     async def run(self) -> Event:
         """Carry the call out to its end."""
@@ -115,7 +115,7 @@
         self.shared.context.state.meter(self.shared.service.name).running -= step.part is not Part.PREFILL
         self.shared.context.counts.calls[step.part.value, outcome] += 1
         self.policy.ended(now, step, self.key, failed, now - self.started_at)
-        self.shared.context.state.peer_work.touch(step.worker)
+        self.shared.context.state.peer_work.mark_changed(step.worker)
         first = (
             self.first_response_at - self.started_at if self.first_response_at is not None else float("nan")
         )
@@ -158,7 +158,7 @@
     def _on_first_response(self) -> None:
         self.first_response_at = now = self.clock()
         self.policy.first_answer(now, self.step, self.shared.demand, self.key, now - self.started_at)
-        self.shared.context.state.peer_work.touch(self.step.worker)
+        self.shared.context.state.peer_work.mark_changed(self.step.worker)
 
     # -- The call ----------------------------------------------------------------------------------
 
@@ -296,4 +296,4 @@
 def silence_age_s(step: Step, forecasts: float, least_ms: float) -> float:
     """When (s) a call counts as silent: the fewer schedulers are heard, the less a forecast is worth."""
     doubt = min(max(step.worker.peer_scale, 1.0) ** 0.5, MOST_DOUBT)
-    return doubt * max(forecasts * step.forecast, least_ms) / 1000.0
+    return doubt * max(forecasts * step.forecast_ms, least_ms) / 1000.0
--- a/tests/system/test_faults.py
+++ b/tests/system/test_faults.py
@@ -68,7 +68,7 @@
             tracks = ingress.state.usable_workers("s")
             while ingress.open_requests:
                 await asyncio.sleep(0)
-            assert [t.unfinished for t in tracks] == [0, 0] and not any(t.awaited for t in tracks)
+            assert [t.unfinished for t in tracks] == [0, 0] and not any(t.response_due_at for t in tracks)
 
     run(scenario())
 
--- a/tests/system/test_hedging.py
+++ b/tests/system/test_hedging.py
@@ -88,7 +88,7 @@
         overtaken(policy, begun_call(policy, worker), 900.0, 0.0)
     assert worker.rest.faults == 0 and worker.rest.length_ms == FIRST_REST_MS
     assert policy.model.pace(Part.DECODE) == before
-    assert worker.unfinished == 0 and not worker.awaited
+    assert worker.unfinished == 0 and not worker.response_due_at
 
 
 def test_a_worker_silent_on_all_calls_is_spared_until_its_next_word():
--- a/tests/system/test_overtaken_attempts.py
+++ b/tests/system/test_overtaken_attempts.py
@@ -139,7 +139,7 @@
             await asyncio.sleep(0)
         assert sum(track.unfinished for track in tracks) == 1
         await call._end_calls()
-        assert not any(track.unfinished or track.awaited for track in tracks)
+        assert not any(track.unfinished or track.response_due_at for track in tracks)
         assert state.meter("s").running == 0
 
     run_virtual(scenario())
--- a/tests/system/test_own_work.py
+++ b/tests/system/test_own_work.py
@@ -50,10 +50,10 @@
         track, calls = await _calls(REQUESTS)
         for call in calls:
             call.report(Begin())
-        assert track.unfinished == REQUESTS and len(track.awaited) == REQUESTS
+        assert track.unfinished == REQUESTS and len(track.response_due_at) == REQUESTS
         for call in calls:
             await call._end_calls()
-        assert track.unfinished == 0 and not track.awaited
+        assert track.unfinished == 0 and not track.response_due_at
 
     run_virtual(scenario())
 
@@ -67,6 +67,6 @@
             await asyncio.sleep(0)
         running.cancel()
         await asyncio.gather(running, return_exceptions=True)
-        assert track.unfinished == 0 and not track.awaited
+        assert track.unfinished == 0 and not track.response_due_at
 
     run_virtual(scenario())
--- a/tests/system/test_pair_policy.py
+++ b/tests/system/test_pair_policy.py
@@ -49,7 +49,7 @@
 def test_a_short_prompt_goes_to_an_idle_decode_worker_and_not_to_a_busy_home():
     policy, workers = PairPolicy("a", Random(2)), fleet()
     for track in workers[:4]:
-        track.reads[1] = 8_000.0
+        track.prefill_tokens[1] = 8_000.0
     plans = choices(policy, workers, demand(SHORT))
     assert sum(plan.prefill_step is None for plan in plans) > 180
 
@@ -57,7 +57,7 @@
 def test_a_long_read_does_not_hold_up_a_decode_worker_while_readers_are_there():
     policy, workers = PairPolicy("a", Random(3)), fleet()
     for track in workers[:4]:
-        track.reads[1] = 20_000.0
+        track.prefill_tokens[1] = 20_000.0
     assert all(plan.prefill_step is not None for plan in choices(policy, workers, demand(LONG)))
     assert all(plan.run.part is Part.DIRECT for plan in choices(policy, workers[4:], demand(LONG), 20))
 
@@ -128,7 +128,7 @@
         policy.ended(now, step, number)
     asked = demand((("y" * 8, 10.0), ("own", 2_000.0)), now)
     step = policy.choose(now, workers, asked).plan.prefill_step
-    assert step.forecast > 1.8 * step.run
+    assert step.forecast_ms > 1.8 * step.run
 
 
 def test_prefixes_unused_longest_give_way():
@@ -152,16 +152,16 @@
 def test_a_read_waits_for_what_is_as_urgent_and_for_what_has_begun():
     """A worker puts no read back once it has begun, however urgent the next one is."""
     track = worker("p", "prefill")
-    track.reads[4] = 9_000.0
+    track.prefill_tokens[4] = 9_000.0
     assert track.ahead(1) == IN_PROGRESS_LEFT * 9_000.0, "it has begun, since nothing else is there"
-    track.reads[1] = 500.0
+    track.prefill_tokens[1] = 500.0
     assert track.ahead(1) == 500.0 + IN_PROGRESS_LEFT * IN_PROGRESS_CHANCE * 9_000.0
     assert track.ahead(4) == 9_500.0
-    track.reads[4] = 40_000.0
+    track.prefill_tokens[4] = 40_000.0
     assert track.ahead(1) == 500.0 + IN_PROGRESS_LEFT * IN_PROGRESS_CHANCE * 10_000.0, (
         "several reads, of which one has begun"
     )
-    track.reads[4], track.peer_reads[4], track.peer_scale = 0.0, 2_000.0, 2.0
+    track.prefill_tokens[4], track.peer_prefill_tokens[4], track.peer_scale = 0.0, 2_000.0, 2.0
     assert track.ahead(1) == 500.0 + IN_PROGRESS_LEFT * IN_PROGRESS_CHANCE * 4_000.0
 
 
@@ -181,7 +181,7 @@
     for track in workers:
         track.peer_scale = 1.0
     for track in workers[:3]:
-        track.peer_reads[1] = 30_000.0
+        track.peer_prefill_tokens[1] = 30_000.0
     asked = demand((("w" * 8, 10.0), ("own4", 4_000.0)))
     assert {plan.prefill_step.worker.id for plan in choices(policy, workers, asked, 50)} == {"p3"}
 
@@ -198,5 +198,5 @@
 def test_patience_grows_where_few_schedulers_are_heard(peer_scale, seconds):
     known = worker("p", "prefill")
     known.peer_scale = peer_scale
-    step = Step(known, Part.PREFILL, run=50.0, wait=0.0, use=0.0, match=1.0, forecast=60.0)
+    step = Step(known, Part.PREFILL, run=50.0, wait=0.0, use=0.0, match=1.0, forecast_ms=60.0)
     assert silence_age_s(step, 4.0, 400.0) == pytest.approx(seconds)
--- a/tests/system/test_peer_work.py
+++ b/tests/system/test_peer_work.py
@@ -22,32 +22,32 @@
 def tell(table, tracks, now):
     """The datagrams after a change at any of these workers."""
     for track in tracks:
-        table.touch(track)
+        table.mark_changed(track)
     return table.datagrams(now)
 
 
 def test_work_and_prefixes_reach_the_others():
     (a, mine), (b, theirs) = scheduler("a"), scheduler("b")
-    mine[1].unfinished, mine[1].reads[2] = 3, 500.0
-    a.placed(mine[1], (("part", 900.0),))
+    mine[1].unfinished, mine[1].prefill_tokens[2] = 3, 500.0
+    a.record_placed(mine[1], (("part", 900.0),))
     for datagram in tell(a, mine, 0.0):
-        b.take(5.0, datagram)
+        b.receive(5.0, datagram)
     b.settle(10.0, 5)
-    assert theirs[1].peer_running == 3 and theirs[1].peer_reads[2] == 500.0
+    assert theirs[1].peer_running == 3 and theirs[1].peer_prefill_tokens[2] == 500.0
     assert theirs[1].peer_scale == 4.0 and theirs[1].others(10.0) == 12.0
     assert theirs[1].matched((("part", 900.0),)) == 900.0
     assert tell(a, mine, 20.0) == [], "nothing has changed"
-    mine[1].unfinished, mine[1].reads[2] = 0, 0.0
+    mine[1].unfinished, mine[1].prefill_tokens[2] = 0, 0.0
     for datagram in tell(a, mine, 40.0):
-        b.take(45.0, datagram)
-    assert theirs[1].peer_running == 0 and sum(theirs[1].peer_reads) == 0.0
+        b.receive(45.0, datagram)
+    assert theirs[1].peer_running == 0 and sum(theirs[1].peer_prefill_tokens) == 0.0
 
 
 def test_a_peer_that_falls_silent_has_no_work_that_counts():
     (a, mine), (b, theirs) = scheduler("a"), scheduler("b")
     mine[0].unfinished = 4
     for datagram in tell(a, mine, 0.0):
-        b.take(0.0, datagram)
+        b.receive(0.0, datagram)
     b.settle(100.0, 2)
     assert theirs[0].others(100.0) == 4
     b.settle(5_000.0, 2)
@@ -59,22 +59,22 @@
     mine[0].unfinished = 1
     first = tell(a, mine, 0.0)[0]
     mine[0].unfinished = 2
-    b.take(1.0, tell(a, mine, 50.0)[0])
-    b.take(2.0, first)
-    b.take(3.0, b"\xff\xff")
-    b.take(4.0, pb.PeerWork(node="x", sequence=1, workers=[pb.WorkerWork(reads=[1])]).SerializeToString())
-    b.take(5.0, pb.PeerWork(node="b", sequence=99).SerializeToString())
+    b.receive(1.0, tell(a, mine, 50.0)[0])
+    b.receive(2.0, first)
+    b.receive(3.0, b"\xff\xff")
+    b.receive(4.0, pb.PeerWork(node="x", sequence=1, workers=[pb.WorkerWork(reads=[1])]).SerializeToString())
+    b.receive(5.0, pb.PeerWork(node="b", sequence=99).SerializeToString())
     assert theirs[0].peer_running == 2
     assert b.dropped == {"late": 1, "unreadable": 1, "nonsense": 2}
 
 
 def test_a_restarted_peer_is_heard_again():
     (_, _), (b, theirs) = scheduler("a"), scheduler("b")
-    b.take(0.0, pb.PeerWork(node="a", sequence=900, whole=True).SerializeToString())
+    b.receive(0.0, pb.PeerWork(node="a", sequence=900, whole=True).SerializeToString())
     b.settle(4_000.0, 2)
     fresh, mine = scheduler("a")
     mine[0].unfinished = 1
-    b.take(4_100.0, tell(fresh, mine, 0.0)[0])
+    b.receive(4_100.0, tell(fresh, mine, 0.0)[0])
     assert theirs[0].peer_running == 1
 
 
@@ -85,7 +85,7 @@
     datagrams = tell(a, mine, 0.0)
     assert len(datagrams) == 3
     for datagram in datagrams:
-        b.take(1.0, datagram)
+        b.receive(1.0, datagram)
     assert [track.peer_running for track in theirs] == [1] * len(theirs)
 
 
@@ -99,15 +99,17 @@
         now += 40.0
         track = random.choice(mine)
         track.unfinished = random.randrange(4)
-        track.reads[random.randrange(RANKS)] = float(random.randrange(3)) * 100
+        track.prefill_tokens[random.randrange(RANKS)] = float(random.randrange(3)) * 100
         for datagram in tell(a, mine, now):
             if random.random() >= loss:
-                b.take(now, datagram)
+                b.receive(now, datagram)
     for _ in range(30):
         now += 40.0
         for datagram in tell(a, mine, now):
-            b.take(now, datagram)
-    assert [(t.peer_running, t.peer_reads) for t in theirs] == [(t.unfinished, t.reads) for t in mine]
+            b.receive(now, datagram)
+    assert [(t.peer_running, t.peer_prefill_tokens) for t in theirs] == [
+        (t.unfinished, t.prefill_tokens) for t in mine
+    ]
 
 
 def test_neighbours_are_few_and_each_others():
