--- a/molespur/system/data_plane/client_server.py
+++ b/molespur/system/data_plane/client_server.py
@@ -1,7 +1,7 @@
-"""Serves clients with hypercorn's HTTP, and bounds how long they may take by the operator's limits.
+"""Serves clients with hypercorn's HTTP, within the operator's time limits for clients.
 
-hypercorn knows one time-out, for connections that rest.  Here the time for a request's head counts from its
-first byte, so that a head that drips in is answered 408, and a connection rests for `IdleTimeoutMs`.
+hypercorn has one timeout, for idle connections.  Here the time for a request's head counts from its first
+byte, so a head that arrives too slowly gets a 408, and a connection may be idle for `IdleTimeoutMs`.
 """
 
 import asyncio
@@ -20,49 +20,49 @@
 from ..serving import http_config
 from ..settings.configuration import Limits
 
-LINGER_S = 0.5  # how long a connection that is closed takes in what its client still sends
-REASONS = {408: b"Request Timeout"}
+LINGER_S = 0.5  # how long a closing connection still reads what its client sends
+REASON_PHRASES = {408: b"Request Timeout"}
 
 
-class Waiting(Enum):
+class WaitState(Enum):
     """What a connection waits for."""
 
-    REQUEST = "request"  # no byte of the next request has come
+    REQUEST = "request"  # idle: no byte of the next request has come
     HEAD = "head"  # a head has begun
-    ANSWER = "answer"  # a request is served: no limit of the client's counts
+    RESPONSE = "response"  # a request is being served: no limit on the client applies
 
 
 class RequestTimer:
-    """When a connection has waited too long for a request.  hypercorn starts and stops it."""
+    """Closes a connection that is idle for too long.  hypercorn starts and stops it."""
 
     def __init__(self, limits: Callable[[], Limits], close: Callable[[], None], loop):
         self._limits, self._close, self._loop = limits, close, loop
-        self._resting: asyncio.TimerHandle | None = None
-        self.waiting = Waiting.ANSWER
-        self.head_due: float | None = None  # loop time until which the head that has begun must be there
+        self._idle_timer: asyncio.TimerHandle | None = None
+        self.state = WaitState.RESPONSE
+        self.head_due: float | None = None  # loop time at which a head that has begun must be complete
 
     async def restart(self, _task_group, _action) -> None:
-        """The connection rests from now on (called by hypercorn)."""
-        self._enter(Waiting.REQUEST)
+        """The connection is idle from now on (called by hypercorn)."""
+        self._set_state(WaitState.REQUEST)
 
     async def stop(self) -> None:
-        """A whole head has come, or the connection has ended (called by hypercorn)."""
-        self._enter(Waiting.ANSWER)
-
-    def received(self) -> None:
-        """Bytes have come: a head begins if none was under way."""
-        if self.waiting is Waiting.REQUEST:
-            self._enter(Waiting.HEAD)
-
-    def _enter(self, waiting: Waiting) -> None:
-        """The one place where the state changes, and the timers with it."""
-        if self._resting is not None:
-            self._resting.cancel()
-            self._resting = None
-        self.waiting, self.head_due = waiting, None
-        if waiting is Waiting.REQUEST:
-            self._resting = self._loop.call_later(self._limits().idle_timeout_s, self._close)
-        elif waiting is Waiting.HEAD:
+        """A complete head has come, or the connection has ended (called by hypercorn)."""
+        self._set_state(WaitState.RESPONSE)
+
+    def record_received(self) -> None:
+        """Bytes have come: a head begins if the connection was idle."""
+        if self.state is WaitState.REQUEST:
+            self._set_state(WaitState.HEAD)
+
+    def _set_state(self, state: WaitState) -> None:
+        """Change the state and its timers; nothing else does."""
+        if self._idle_timer is not None:
+            self._idle_timer.cancel()
+            self._idle_timer = None
+        self.state, self.head_due = state, None
+        if state is WaitState.REQUEST:
+            self._idle_timer = self._loop.call_later(self._limits().idle_timeout_s, self._close)
+        elif state is WaitState.HEAD:
             self.head_due = self._loop.time() + self._limits().header_timeout_s
 
 
@@ -75,23 +75,23 @@
         self.idle_task = RequestTimer(server.limits, writer.close, loop)
         self._lingering: asyncio.TimerHandle | None = None
 
-    def close_if_resting(self) -> None:
-        """Close the connection unless a request is under way on it."""
-        if self.idle_task.waiting is not Waiting.ANSWER:
+    def close_if_idle(self) -> None:
+        """Close the connection unless a request is being served on it."""
+        if self.idle_task.state is not WaitState.RESPONSE:
             self.writer.close()
 
     async def protocol_send(self, event: Event) -> None:
-        """What hypercorn's protocol asks for: a close is a lingering one."""
+        """Handle an event of hypercorn's protocol: a close is a lingering one."""
         if isinstance(event, Closed):
             self._linger()
         else:
             await super().protocol_send(event)
 
     def _linger(self) -> None:
-        """Say that nothing more comes, and take in what the client still sends until it closes.
+        """Close the sending side, and read what the client still sends until it closes its side.
 
-        A socket that is closed with bytes unread resets the connection, and the answer that was just sent is
-        lost with it: RFC 9112, section 9.6.
+        Closing a socket with unread bytes resets the connection, and the response that was just sent is lost
+        with it: RFC 9112, section 9.6.
         """
         if self._lingering is not None or self.writer.is_closing():
             return
@@ -112,17 +112,17 @@
                     data = await self.reader.read(MAX_RECV)
             except OSError:
                 if head_due.expired():
-                    await self.protocol_send(RawData(closing_answer(ErrorKind.HEADERS_TOO_SLOW)))
+                    await self.protocol_send(RawData(closing_response(ErrorKind.HEADERS_TOO_SLOW)))
                 break
             if self._lingering is not None or self.writer.is_closing():
-                continue  # a request that crosses the close of its connection is not passed on
-            self.idle_task.received()
+                continue  # ignore a request that arrives after the connection has begun to close
+            self.idle_task.record_received()
             await self.protocol.handle(RawData(data))
         await self.protocol.handle(Closed())
 
 
 class ClientServer:
-    """Serves an application to clients until it is told to stop."""
+    """Serves an application to clients until it is stopped."""
 
     def __init__(self, app, limits: Callable[[], Limits]):
         self.app, self.limits = ASGIWrapper(app), limits
@@ -131,43 +131,45 @@
         self._connections: dict[ClientConnection, asyncio.Task] = {}
 
     async def serve(self, address: str, stop: asyncio.Event, graceful_s: float) -> None:
-        """Serve at HOST:PORT until the event is set; open requests have `graceful_s` seconds to end then."""
+        """Serve at HOST:PORT until the event is set; then open requests have `graceful_s` seconds to end."""
         listener = early_listener.take(address) or early_listener.listening(address)
-        server = await asyncio.start_server(self._serve_one, sock=listener, backlog=early_listener.BACKLOG)
+        server = await asyncio.start_server(
+            self._serve_connection, sock=listener, backlog=early_listener.BACKLOG
+        )
         try:
             await stop.wait()
         finally:
             server.close()
-            await self._end(graceful_s)
+            await self._close_connections(graceful_s)
 
-    async def _serve_one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         connection = ClientConnection(self, reader, writer)
         self._connections[connection] = asyncio.current_task()
         try:
             await connection.run()
-        except asyncio.CancelledError:  # an ordinary end; asyncio would print a traceback
-            logging.info("connection closed in mid-request: the grace period is over")
+        except asyncio.CancelledError:  # expected here; asyncio would print a traceback
+            logging.info("closed a client connection during a request: the grace period is over")
         finally:
             del self._connections[connection]
 
-    async def _end(self, graceful_s: float) -> None:
-        await self.context.terminated.set()  # connections close after the request that they serve
+    async def _close_connections(self, graceful_s: float) -> None:
+        await self.context.terminated.set()  # connections close after their current request
         for connection in self._connections:
-            connection.close_if_resting()
+            connection.close_if_idle()
         tasks = set(self._connections.values())
         if not tasks:
             return
-        _done, late = await asyncio.wait(tasks, timeout=graceful_s)
-        for task in late:
+        _done, unfinished = await asyncio.wait(tasks, timeout=graceful_s)
+        for task in unfinished:
             task.cancel()
-        await asyncio.gather(*late, return_exceptions=True)
+        await asyncio.gather(*unfinished, return_exceptions=True)
 
 
-def closing_answer(kind: ErrorKind) -> bytes:
-    """An answer of an error kind, in bytes, after which the connection closes."""
+def closing_response(kind: ErrorKind) -> bytes:
+    """The bytes of the response of an error kind, after which the connection closes."""
     status = ANSWERS[kind].status
     lines = (
-        b"HTTP/1.1 %d %s" % (status, REASONS[status]),
+        b"HTTP/1.1 %d %s" % (status, REASON_PHRASES[status]),
         b"content-length: 0",
         b"connection: close",
         b"",
--- a/tests/system/test_client_limits.py
+++ b/tests/system/test_client_limits.py
@@ -7,7 +7,7 @@
 from wire import Client, ScriptedWorker, answer, data_plane, header, request, run
 
 from molespur.system import early_listener
-from molespur.system.data_plane.client_server import ClientServer, RequestTimer, Waiting
+from molespur.system.data_plane.client_server import ClientServer, RequestTimer, WaitState
 from molespur.system.settings.configuration import Limits
 
 SHORT_MS, LONG_MS = 40, 60_000
@@ -196,20 +196,20 @@
 def test_a_head_counts_from_its_first_byte():
     timer, loop, closed = timer_at_rest()
     loop.move(14.9)
-    timer.received()
+    timer.record_received()
     assert timer.head_due == pytest.approx(17.9)
     loop.move(16.0)
-    timer.received()
+    timer.record_received()
     assert timer.head_due == pytest.approx(17.9)
     assert closed == []
 
 
 def test_rest_counts_anew_after_each_answer():
     timer, loop, closed = timer_at_rest()
-    timer.received()
+    timer.record_received()
     call(timer.stop())
-    assert (timer.waiting, timer.head_due) == (Waiting.ANSWER, None)
-    timer.received()  # a body
+    assert (timer.state, timer.head_due) == (WaitState.RESPONSE, None)
+    timer.record_received()  # a body
     assert timer.head_due is None
     loop.move(100.0)
     assert closed == []
--- a/tests/system/test_closing_connections.py
+++ b/tests/system/test_closing_connections.py
@@ -101,7 +101,7 @@
         running = asyncio.ensure_future(connection.run())
         await asyncio.sleep(0)
         reader.feed_data(request())
-        connection.close_if_resting()
+        connection.close_if_idle()
         reader.feed_eof()
         await running
         assert writer.closing and served == []
