--- a/molespur/system/data_plane/__init__.py
+++ b/molespur/system/data_plane/__init__.py
@@ -1,1 +1,1 @@
-"""The data-plane role."""
+"""The data-plane role: serves clients' requests through the workers."""
--- a/molespur/system/data_plane/network.py
+++ b/molespur/system/data_plane/network.py
@@ -1,9 +1,10 @@
-"""Connections to workers for httpcore, straight on the event loop.
+"""A network backend of httpcore for connections to workers, as protocols of the event loop.
 
-Cheaper than the backend that httpcore brings, and with two things that it lacks: bytes that a worker does
-not acknowledge end the connection soon (TCP_USER_TIMEOUT), and whatever comes on a resting one is noticed.
-The kernel's time-out counts a full window as well, so a long request is given more time: its worker may be at
-work and read on later.
+It costs less CPU than httpcore's own backend and adds two features.  A connection ends soon if the worker
+does not acknowledge bytes (TCP_USER_TIMEOUT).  Bytes and closes on an idle connection are noticed.
+
+The kernel applies TCP_USER_TIMEOUT also while the receive window is full, so the timeout of a long request is
+longer: its worker may be busy and read the rest later.
 """
 
 import asyncio
@@ -13,13 +14,13 @@
 import httpcore
 
 UNACKNOWLEDGED_MS = 1500
-LONG_WRITE_BYTES = 32 << 10  # more may fill the window of a worker that does not read
-LONG_UNACKNOWLEDGED_MS = 30_000  # until such a worker answers; the request's own time ends before
-PAUSE_BYTES = 256 << 10  # unread bytes at which a worker is made to wait
+MIN_LONG_WRITE_BYTES = 32 << 10  # more may fill the receive window of a worker that does not read
+LONG_UNACKNOWLEDGED_MS = 30_000  # until such a worker responds; the request's deadline is earlier
+MAX_UNREAD_BYTES = 256 << 10  # with more unread bytes, the worker is not read from
 
 
 class WorkerStream(asyncio.Protocol, httpcore.AsyncNetworkStream):
-    """One connection."""
+    """One connection to a worker."""
 
     def __init__(self):
         self._transport: asyncio.Transport | None = None
@@ -29,9 +30,9 @@
         self._reader: asyncio.Future | None = None
         self._writable: asyncio.Future | None = None
         self._paused = False
-        self._long_write = False  # more than a window may be out, and no answer has come since
+        self._long_write = False  # the receive window may be full, and nothing was received since
 
-    # -- asyncio's side ------------------------------------------------------------------------
+    # -- asyncio.Protocol ----------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         """Set the socket's options (asyncio callback)."""
@@ -41,7 +42,7 @@
         self._set_long_write(False)
 
     def _set_long_write(self, long: bool) -> None:
-        """The one place where the kernel's time-out for unacknowledged bytes changes."""
+        """Set the kernel's timeout for unacknowledged bytes; nothing else changes it."""
         self._long_write = long
         if hasattr(socket, "TCP_USER_TIMEOUT"):
             sock = self._transport.get_extra_info("socket")
@@ -49,33 +50,33 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, timeout_ms)
 
     def data_received(self, data: bytes) -> None:
-        """Keep what has come until it is read (asyncio callback)."""
+        """Buffer received bytes until they are read (asyncio callback)."""
         self._buffer += data
         if self._long_write:
             self._set_long_write(False)
-        if len(self._buffer) > PAUSE_BYTES and not self._paused:
+        if len(self._buffer) > MAX_UNREAD_BYTES and not self._paused:
             self._paused = True
             self._transport.pause_reading()
         self._wake(self._reader)
 
     def eof_received(self) -> bool:
-        """The worker sends no more (asyncio callback)."""
+        """The worker has ended its side of the connection (asyncio callback)."""
         self._ended = True
         self._wake(self._reader)
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection is gone (asyncio callback)."""
+        """The connection is closed (asyncio callback)."""
         self._ended, self._error = True, error
         self._wake(self._reader)
         self._wake(self._writable)
 
     def pause_writing(self) -> None:
-        """The worker does not take more for now (asyncio callback)."""
+        """The write buffer is full (asyncio callback)."""
         self._writable = asyncio.get_running_loop().create_future()
 
     def resume_writing(self) -> None:
-        """The worker takes more again (asyncio callback)."""
+        """The write buffer has room again (asyncio callback)."""
         self._wake(self._writable)
         self._writable = None
 
@@ -84,10 +85,10 @@
         if waiting is not None and not waiting.done():
             waiting.set_result(None)
 
-    # -- httpcore's side -----------------------------------------------------------------------
+    # -- AsyncNetworkStream ---------------------------------------------------------------------
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        """Bytes as they come; none at the end.  Raises httpcore.ReadError or ReadTimeout."""
+        """Read bytes as they arrive; none at the end.  Raises httpcore.ReadError or ReadTimeout."""
         if not self._buffer and not self._ended:
             self._reader = asyncio.get_running_loop().create_future()
             try:
@@ -103,7 +104,7 @@
             return b""
         data = bytes(self._buffer[:max_bytes])
         del self._buffer[:max_bytes]
-        if self._paused and len(self._buffer) < PAUSE_BYTES and not self._ended:
+        if self._paused and len(self._buffer) < MAX_UNREAD_BYTES and not self._ended:
             self._paused = False
             self._transport.resume_reading()
         return data
@@ -111,8 +112,8 @@
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
         """Send bytes.  Raises httpcore.WriteError or WriteTimeout."""
         if self._transport.is_closing():
-            raise httpcore.WriteError("the connection is closed")
-        if len(buffer) > LONG_WRITE_BYTES:
+            raise httpcore.WriteError("connection to the worker is closed")
+        if len(buffer) > MIN_LONG_WRITE_BYTES:
             self._set_long_write(True)
         self._transport.write(buffer)
         if self._writable is None:
@@ -128,7 +129,7 @@
         self._transport.close()
 
     def get_extra_info(self, info: str):
-        """What httpcore asks of a resting connection: whether anything has come on it."""
+        """Whether bytes or a close have come (`is_readable`), which httpcore asks of idle connections."""
         if info == "is_readable":
             return bool(self._buffer) or self._ended or self._transport.is_closing()
         return self._transport.get_extra_info(info)
@@ -145,7 +146,7 @@
         local_address: str | None = None,
         socket_options: Iterable | None = None,
     ) -> WorkerStream:
-        """A new connection.  Raises httpcore.ConnectError or ConnectTimeout."""
+        """Open a connection.  Raises httpcore.ConnectError or ConnectTimeout."""
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(timeout):
--- a/molespur/system/data_plane/routes.py
+++ b/molespur/system/data_plane/routes.py
@@ -1,4 +1,4 @@
-"""Which route a request takes: by host, then the longest prefix of the path."""
+"""Finds the route of a request: by its host, then by the longest prefix of its path."""
 
 from ..settings.configuration import Configuration, Route
 
@@ -12,7 +12,7 @@
             self._hosts.setdefault(route.host.lower(), {})[route.path_prefix] = route
 
     def find(self, host: str, path: str) -> Route | None:
-        """The route of a host (a port is passed over) and a path; None: there is none."""
+        """The route of a host (any port is ignored) and a path, or None."""
         prefixes = self._hosts.get(host.lower().partition(":")[0])
         if prefixes is None:
             return None
