--- a/molespur/policy/pair.py
+++ b/molespur/policy/pair.py
@@ -1,7 +1,8 @@
-"""Which workers serve a request: a prefill and a decode worker, a decode worker alone, or a plain one.  Pure.
+"""Selects the workers of a request: a prefill and a decode worker, a decode worker alone, or a plain worker.
 
-Each way is forecast as a whole by the finish-time model, from the workers' reports brought up to date with
-own work; the design's filter, tiers and draw choose among the ways.
+Pure.  The finish-time model forecasts each route plan as a whole, from the workers' load reports and the
+scheduler's own calls since.  Plans at workers with a cached prefix are preferred, then plans that meet the
+target latency; among those that are left the draw is a weighted random one.
 """
 
 from collections.abc import Iterable, Sequence
@@ -12,35 +13,40 @@
 
 from .model import FinishTimeModel
 from .placement import draw, meeting, warm_first
-from .tracking import Part, WorkerTrack, rank_of
+from .tracking import ServingPhase, WorkerTrack, prefill_rank
 
-PREFILL_TOKENS_PER_MS = 50.0  # prior; the model learns the true pace
+PREFILL_TOKENS_PER_MS = 50.0  # prior; the model learns the real pace
 DIRECT_TOKENS_PER_MS = 25.0
 FIRST_TOKEN_MS = 20.0
-PLAIN_RUN_MS = 40.0  # until requests of the route have been served
-HANDOVER_COST_MS = 20.0  # what moving a prompt's memory counts for in the draw
-CROSSING_COST_MS = 12.0  # what a call into another zone counts for in the draw
-ZONE_FACTOR = 2.0  # memory moves this much slower between zones
+PLAIN_RUN_MS = 40.0  # prior, until requests of the route have been served
+KV_TRANSFER_COST_MS = 20.0  # added to the cost of a plan that moves the KV cache between workers
+CROSS_ZONE_COST_MS = 12.0  # added to the cost of a plan for each call into another zone
+CROSS_ZONE_TRANSFER_FACTOR = 2.0  # the KV cache moves this much slower between zones
 WARM_PENALTY_MS = 120.0
-DIRECT_LONGEST_MS = (
-    80.0  # a longer read holds up the answers that a decode worker gives: only without readers
+# a longer prefill stalls the streams of its decode worker and is allowed only without prefill workers
+MAX_DIRECT_PREFILL_MS = 80.0
+DIRECT_COST = 1.0  # cost (ms) of each ms of prefill at a decode worker
+MAX_CANDIDATES = 8  # workers of a phase that are considered for one request
+MIN_MATCH_TOKENS = 3000.0  # a shorter shared prefix counts as this long, since it is soon prefilled
+PREFERRED_MATCH = (
+    0.9  # prefix match of the prefix's preferred worker: other schedulers may have sent it there
 )
-DIRECT_COST = 1.0  # what a decode worker's reading counts for in the draw, for each ms of it
-SUBSET = 8  # workers of a part that are looked at for one request
-MATCH_TOKENS = 3000.0  # a shared prefix shorter than this counts as if it were so long: it is soon read
-HOME_MATCH = 0.9  # prefix match of the worker that is the prefix's home: others may have sent it there
-HOME_READ = 0.85  # share of a shared prefix that a home is expected to have
-REREAD_COST_MS = 0.02  # what each shared token that is read away from its home counts for in the draw
-REFIT_MS = 2000.0
-DUE_FORECASTS, DUE_SLACK_MS = 1.5, 100.0  # a first answer is late after so many forecasts and this
-USABLE_SILENT_MS = 2500.0  # a worker silent to the control plane is used if own calls went well this lately
-PANIC_SHARE = 0.5
-RUN_GAIN = 0.05
+PREFERRED_CACHED_SHARE = 0.85  # share of a shared prefix that its preferred worker probably has cached
+REPEATED_PREFILL_COST_MS = (
+    0.02  # cost of each shared token that is prefilled at another than its preferred worker
+)
+REFIT_INTERVAL_MS = 2000.0
+DUE_FORECASTS, DUE_SLACK_MS = 1.5, 100.0  # a first response is late after this many forecasts plus the slack
+MAX_CONTACT_AGE_MS = (
+    2500.0  # a worker silent to the control plane is used if own calls had bytes this recently
+)
+PANIC_SHARE = 0.5  # with fewer workers than this share left, ejections are ignored
+PLAIN_RUN_GAIN = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class EngineShape:
-    """What the operator tells of a service's model workers."""
+    """What the operator has configured for a service's model workers."""
 
     token_bytes: float
     bandwidth_mbps: float
@@ -49,94 +55,96 @@
 
 @dataclass(slots=True)
 class Demand:
-    """What a request asks for.  Times are ms on the caller's clock."""
+    """What a request needs.  Times are ms on the caller's clock."""
 
     route: str
-    aim_at: float
+    target_at: float
     deadline_at: float
     engine: EngineShape | None = None
     tokens: float = 0.0
-    parts: tuple[tuple[str, float], ...] = ()
+    segments: tuple[tuple[str, float], ...] = ()
     repeatable: bool = False
     lowest_priority: bool = False
 
     @property
-    def shared(self):
-        """The parts that other requests may have too: all but the last."""
-        return self.parts[:-1]
+    def shared_segments(self):
+        """The prefix segments that other requests may have too: all but the last."""
+        return self.segments[:-1]
 
 
 @dataclass(slots=True)
 class Step:
-    """One call in a way: the terms of its forecast."""
+    """One call of a route plan, with the terms of its forecast."""
 
     worker: WorkerTrack
-    part: Part
-    run: float
-    wait: float
-    use: float
-    match: float
+    phase: ServingPhase
+    run_ms: float
+    wait_ms: float
+    slot_use: float
+    prefix_match: float
     forecast_ms: float
-    read: float = 0.0
-    rank: int = 0  # place in a worker's order, 0 first: hand-overs, then short reads before long ones
-    reread: float = 0.0  # shared tokens of `read` that another worker has probably read
+    prefill_tokens: float = 0.0
+    rank: int = 0  # in the worker's queue, 0 first: KV transfers, then short prefills before long ones
+    repeated_tokens: float = 0.0  # shared ones of `prefill_tokens` that another worker has probably prefilled
 
 
 @dataclass(slots=True)
 class RoutePlan:
-    """How a request could be served."""
+    """One way to serve a request."""
 
     steps: tuple[Step, ...]
     forecast_ms: float
-    match: float
-    cost: float
+    prefix_match: float
+    cost_ms: float
 
     @property
     def prefill_step(self):
-        """The step that reads the prompt apart, if there is one."""
+        """The step at a separate prefill worker, if there is one."""
         return self.steps[0] if len(self.steps) > 1 else None
 
     @property
-    def run(self):
-        """The step whose answer goes to the client."""
+    def response_step(self):
+        """The step whose response goes to the client."""
         return self.steps[-1]
 
 
 @dataclass(slots=True)
 class Selection:
-    """A way, and whether its forecast meets the aim."""
+    """A route plan, and whether its forecast meets the target latency."""
 
     plan: RoutePlan
-    meets: bool
+    meets_target: bool
 
 
 class PairPolicy:
-    """Decides for one scheduler; equal settings, seed and events give equal choices."""
+    """Decides for one scheduler; equal settings, seed and events give equal selections."""
 
     def __init__(self, zone: str, random: Random):
         self.zone, self.random = zone, random
-        self.model = FinishTimeModel(Part)
-        self.plain_run: dict[str, float] = {}
-        self.refit_at = 0.0
+        self.model = FinishTimeModel(ServingPhase)
+        self.plain_run_ms: dict[str, float] = {}
+        self.next_refit_at = 0.0
 
-    # -- Choose --------------------------------------------------------------------------------
+    # -- Selection -----------------------------------------------------------------------------
 
     def choose(
         self, now: float, workers: Iterable[WorkerTrack], demand: Demand, avoid: Sequence[str] = ()
     ) -> Selection | None:
-        """The design's choice among the usable workers; None without any."""
+        """Select a plan among the usable workers; None without any."""
         usable = self._usable(now, workers, avoid)
         if demand.engine is None:
-            plans = [self._alone(now, w, Part.PLAIN, demand) for w in usable]
+            plans = [self._single_worker_plan(now, w, ServingPhase.PLAIN, demand) for w in usable]
         else:
-            plans = self._engine_ways(now, usable, demand)
+            plans = self._engine_plans(now, usable, demand)
         if not plans:
             return None
-        left = demand.aim_at - now
-        if len(demand.parts) > 1:
-            plans = warm_first(self.random, plans, WARM_PENALTY_MS, _forecast, lambda plan: plan.match)
-        chosen, meets = meeting(self.random, plans, left, _forecast, demand.repeatable)
-        return Selection(draw(self.random, chosen, [plan.cost for plan in chosen]), meets)
+        left = demand.target_at - now
+        if len(demand.segments) > 1:
+            plans = warm_first(
+                self.random, plans, WARM_PENALTY_MS, _forecast_ms, lambda plan: plan.prefix_match
+            )
+        chosen, meets_target = meeting(self.random, plans, left, _forecast_ms, demand.repeatable)
+        return Selection(draw(self.random, chosen, [plan.cost_ms for plan in chosen]), meets_target)
 
     def choose_decode(
         self,
@@ -146,196 +154,249 @@
         source: WorkerTrack,
         avoid: Sequence[str],
     ) -> Step | None:
-        """The worker that takes the memory over from the one that has read the prompt."""
+        """Select the worker that takes the KV cache over from the prefill worker `source`."""
         usable = [w for w in self._usable(now, workers, avoid) if w.phase != "prefill"]
-        steps = [self._handover(now, source, w, demand) for w in usable]
+        steps = [self._decode_step(now, source, w, demand) for w in usable]
         if not steps:
             return None
-        costs = [s.forecast_ms + self._crossing(s.worker) + _move_crossing(source, s.worker) for s in steps]
+        costs = [
+            s.forecast_ms + self._call_cost_ms(s.worker) + _transfer_cost_ms(source, s.worker) for s in steps
+        ]
         return draw(self.random, steps, costs)
 
     def _usable(self, now, workers, avoid):
         known = [
             w
             for w in workers
-            if w.usable and w.id not in avoid and (not w.silent or now - w.heard_at < USABLE_SILENT_MS)
+            if w.usable
+            and w.id not in avoid
+            and (not w.silent or now - w.last_received_at < MAX_CONTACT_AGE_MS)
         ]
-        healthy = [w for w in known if not w.resting(now)]
+        healthy = [w for w in known if not w.is_ejected(now)]
         return healthy if len(healthy) >= PANIC_SHARE * len(known) else known
 
-    def _engine_ways(self, now, usable, demand):
-        readers = self._subset([w for w in usable if w.phase == "prefill"], demand)
-        runners = self._subset([w for w in usable if w.phase != "prefill"], demand)
-        plans = [self._alone(now, w, Part.DIRECT, demand) for w in runners]
-        if readers:
-            short = [plan for plan in plans if plan.run.read / DIRECT_TOKENS_PER_MS <= DIRECT_LONGEST_MS]
-            plans = short if runners else plans
-        home = min(readers, key=lambda w: _home_rank(w, demand)) if readers and demand.shared else None
-        for reader in readers:
-            read = self._read_step(now, reader, Part.PREFILL, demand, home=reader is home)
-            for runner in runners:
-                move = self._handover(now, reader, runner, demand)
-                cost = read.forecast_ms + move.forecast_ms + HANDOVER_COST_MS
-                cost += self._crossing(reader) + self._crossing(runner)
-                cost += _move_crossing(reader, runner) + REREAD_COST_MS * read.reread
-                plans.append(RoutePlan((read, move), read.forecast_ms + move.forecast_ms, read.match, cost))
+    def _engine_plans(self, now, usable, demand):
+        prefill_workers = self._candidates([w for w in usable if w.phase == "prefill"], demand)
+        decode_workers = self._candidates([w for w in usable if w.phase != "prefill"], demand)
+        plans = [self._single_worker_plan(now, w, ServingPhase.DIRECT, demand) for w in decode_workers]
+        if prefill_workers:
+            short = [
+                plan
+                for plan in plans
+                if plan.response_step.prefill_tokens / DIRECT_TOKENS_PER_MS <= MAX_DIRECT_PREFILL_MS
+            ]
+            plans = short if decode_workers else plans
+        preferred = (
+            min(prefill_workers, key=lambda w: _rendezvous_hash(w, demand))
+            if prefill_workers and demand.shared_segments
+            else None
+        )
+        for prefill_worker in prefill_workers:
+            prefill = self._prefill_step(
+                now, prefill_worker, ServingPhase.PREFILL, demand, preferred=prefill_worker is preferred
+            )
+            for decode_worker in decode_workers:
+                decode = self._decode_step(now, prefill_worker, decode_worker, demand)
+                cost = prefill.forecast_ms + decode.forecast_ms + KV_TRANSFER_COST_MS
+                cost += self._call_cost_ms(prefill_worker) + self._call_cost_ms(decode_worker)
+                cost += (
+                    _transfer_cost_ms(prefill_worker, decode_worker)
+                    + REPEATED_PREFILL_COST_MS * prefill.repeated_tokens
+                )
+                plans.append(
+                    RoutePlan(
+                        (prefill, decode),
+                        prefill.forecast_ms + decode.forecast_ms,
+                        prefill.prefix_match,
+                        cost,
+                    )
+                )
         return plans
 
-    def _subset(self, workers, demand):
-        """A few of many: the homes of the prefix, and some at random."""
-        if len(workers) <= SUBSET:
+    def _candidates(self, workers, demand):
+        """At most MAX_CANDIDATES of them: the preferred workers of the prefix, and others at random."""
+        if len(workers) <= MAX_CANDIDATES:
             return workers
-        homes = sorted(workers, key=lambda w: _home_rank(w, demand))[: SUBSET // 4]
-        rest = [w for w in workers if w not in homes]
-        return homes + self.random.sample(rest, SUBSET - len(homes))
+        preferred = sorted(workers, key=lambda w: _rendezvous_hash(w, demand))[: MAX_CANDIDATES // 4]
+        others = [w for w in workers if w not in preferred]
+        return preferred + self.random.sample(others, MAX_CANDIDATES - len(preferred))
 
-    def _crossing(self, worker):
-        return CROSSING_COST_MS * (worker.zone != self.zone)
+    def _call_cost_ms(self, worker):
+        return CROSS_ZONE_COST_MS * (worker.zone != self.zone)
 
     # -- Forecast ------------------------------------------------------------------------------
 
-    def _alone(self, now, worker, part, demand):
-        if part is Part.PLAIN:
+    def _single_worker_plan(self, now, worker, phase, demand):
+        if phase is ServingPhase.PLAIN:
             step = self._plain_step(now, worker, demand)
         else:
-            step = self._read_step(now, worker, part, demand)
-        cost = step.forecast_ms + self._crossing(worker)
-        if part is Part.DIRECT:
-            cost += REREAD_COST_MS * step.reread
-            cost += DIRECT_COST * (step.read + worker.ahead(step.rank)) / DIRECT_TOKENS_PER_MS
-        return RoutePlan((step,), step.forecast_ms, step.match, cost)
-
-    def _read_step(self, now, worker, part, demand, home=False):
-        matched = worker.matched(demand.parts)
-        shared = sum(tokens for _, tokens in demand.shared)
-        missing = max(shared - worker.matched(demand.shared), 0.0)
-        match = 1.0 - missing / max(shared, MATCH_TOKENS)
-        if home:
-            match, matched = (
-                max(match, HOME_MATCH),
-                max(matched, HOME_READ * shared * worker.unknown_peer_share),
+            step = self._prefill_step(now, worker, phase, demand)
+        cost = step.forecast_ms + self._call_cost_ms(worker)
+        if phase is ServingPhase.DIRECT:
+            cost += REPEATED_PREFILL_COST_MS * step.repeated_tokens
+            cost += (
+                DIRECT_COST
+                * (step.prefill_tokens + worker.prefill_tokens_ahead(step.rank))
+                / DIRECT_TOKENS_PER_MS
+            )
+        return RoutePlan((step,), step.forecast_ms, step.prefix_match, cost)
+
+    def _prefill_step(self, now, worker, phase, demand, preferred=False):
+        """A call that begins with the prefill: at a prefill worker, or at a decode worker (DIRECT)."""
+        cached = worker.cached_tokens(demand.segments)
+        shared = sum(tokens for _, tokens in demand.shared_segments)
+        missing = max(shared - worker.cached_tokens(demand.shared_segments), 0.0)
+        match = 1.0 - missing / max(shared, MIN_MATCH_TOKENS)
+        if preferred:
+            match, cached = (
+                max(match, PREFERRED_MATCH),
+                max(cached, PREFERRED_CACHED_SHARE * shared * worker.unknown_peer_share),
             )
-        unread = max(demand.tokens - matched, 0.0)
-        reread = 0.0 if home else max(shared - matched, 0.0)
-        pace = PREFILL_TOKENS_PER_MS if part is Part.PREFILL else DIRECT_TOKENS_PER_MS
-        run = unread / pace + FIRST_TOKEN_MS
-        rank = rank_of(unread / pace)
-        wait = worker.ahead(rank) / pace
-        others = worker.others(now)
-        if part is Part.DIRECT:
-            wait += self._slot_wait(worker, others)
+        uncached = max(demand.tokens - cached, 0.0)
+        repeated = 0.0 if preferred else max(shared - cached, 0.0)
+        tokens_per_ms = PREFILL_TOKENS_PER_MS if phase is ServingPhase.PREFILL else DIRECT_TOKENS_PER_MS
+        run_ms = uncached / tokens_per_ms + FIRST_TOKEN_MS
+        rank = prefill_rank(uncached / tokens_per_ms)
+        wait_ms = worker.prefill_tokens_ahead(rank) / tokens_per_ms
+        others = worker.other_requests(now)
+        if phase is ServingPhase.DIRECT:
+            wait_ms += self._slot_wait_ms(worker, others)
         elif not worker.peer_scale:
-            wait += others * demand.tokens / PREFILL_TOKENS_PER_MS / 2
-        step = self._step(now, worker, part, run, wait, match, unread)
-        step.reread, step.rank = reread, rank
+            wait_ms += others * demand.tokens / PREFILL_TOKENS_PER_MS / 2
+        step = self._step(now, worker, phase, run_ms, wait_ms, match, uncached)
+        step.repeated_tokens, step.rank = repeated, rank
         return step
 
-    def _handover(self, now, source, worker, demand):
-        matched = worker.matched(demand.parts)
-        bits = max(demand.tokens - matched, 0.0) * demand.engine.token_bytes * 8
-        factor = 1.0 if source.zone == worker.zone else ZONE_FACTOR
-        move = bits / max(demand.engine.bandwidth_mbps * 1000.0, 1.0) * factor
-        wait = self._slot_wait(worker, worker.others(now)) + worker.ahead(0) / DIRECT_TOKENS_PER_MS / 4
-        return self._step(now, worker, Part.DECODE, move + FIRST_TOKEN_MS, wait, 1.0, 0.0)
+    def _decode_step(self, now, source, worker, demand):
+        """A call that fetches the KV cache from `source` and decodes."""
+        cached = worker.cached_tokens(demand.segments)
+        bits = max(demand.tokens - cached, 0.0) * demand.engine.token_bytes * 8
+        factor = 1.0 if source.zone == worker.zone else CROSS_ZONE_TRANSFER_FACTOR
+        transfer_ms = bits / max(demand.engine.bandwidth_mbps * 1000.0, 1.0) * factor
+        wait_ms = (
+            self._slot_wait_ms(worker, worker.other_requests(now))
+            + worker.prefill_tokens_ahead(0) / DIRECT_TOKENS_PER_MS / 4
+        )
+        return self._step(now, worker, ServingPhase.DECODE, transfer_ms + FIRST_TOKEN_MS, wait_ms, 1.0, 0.0)
 
     @staticmethod
-    def _slot_wait(worker, others):
-        """Waiting for a place in the batch; more running requests make each token slower."""
+    def _slot_wait_ms(worker, others):
+        """The wait for a slot in the batch, and the slowdown of each token by the other requests in it."""
         over = worker.unfinished + others - worker.slots
         load = (worker.unfinished + others) / max(worker.slots, 1)
         return 10.0 * load + max(over, 0.0) * 5.0
 
     def _plain_step(self, now, worker, demand):
-        run = self.plain_run.get(demand.route, PLAIN_RUN_MS)
-        load = worker.unfinished + worker.others(now)
+        run_ms = self.plain_run_ms.get(demand.route, PLAIN_RUN_MS)
+        load = worker.unfinished + worker.other_requests(now)
         over = load + 1 - worker.slots
-        wait = max(over, 0.0) * run / max(worker.slots, 1) + 0.3 * run * min(load / max(worker.slots, 1), 1.0)
-        return self._step(now, worker, Part.PLAIN, run, wait, 1.0, 0.0)
+        wait_ms = max(over, 0.0) * run_ms / max(worker.slots, 1) + 0.3 * run_ms * min(
+            load / max(worker.slots, 1), 1.0
+        )
+        return self._step(now, worker, ServingPhase.PLAIN, run_ms, wait_ms, 1.0, 0.0)
 
-    def _step(self, now, worker, part, run, wait, match, read):
-        wait = max(wait, worker.overdue(now))
-        paced = run * exp(worker.pace.get(part, 0.0))
-        use = (worker.unfinished + worker.others(now)) / max(worker.slots, 1)
+    def _step(self, now, worker, phase, run_ms, wait_ms, match, prefill_tokens):
+        wait_ms = max(wait_ms, worker.overdue_ms(now))
+        paced_ms = run_ms * exp(worker.log_pace.get(phase, 0.0))
+        slot_use = (worker.unfinished + worker.other_requests(now)) / max(worker.slots, 1)
         return Step(
             worker,
-            part,
-            run,
-            wait,
-            min(use, 2.0),
+            phase,
+            run_ms,
+            wait_ms,
+            min(slot_use, 2.0),
             match,
-            self.model.forecast(self.model.pace(part) * paced, wait, 0.0),
-            read,
+            self.model.forecast(self.model.pace(phase) * paced_ms, wait_ms, 0.0),
+            prefill_tokens,
         )
 
-    # -- Own work ------------------------------------------------------------------------------
+    # -- Own calls -----------------------------------------------------------------------------
 
-    def begin(self, now: float, step: Step, demand: Demand, key) -> None:
-        """A call has been sent to a worker."""
+    def record_sent(self, now: float, step: Step, demand: Demand, key) -> None:
+        """A call is being sent to a worker."""
         worker = step.worker
         if not worker.unfinished:
             worker.busy_since = now
         worker.unfinished += 1
         worker.response_due_at[key] = now + DUE_FORECASTS * step.forecast_ms + DUE_SLACK_MS
-        worker.prefill_tokens[step.rank] += step.read
-        if step.part is not Part.PLAIN:
-            worker.remember(demand.parts)
+        worker.prefill_tokens[step.rank] += step.prefill_tokens
+        if step.phase is not ServingPhase.PLAIN:
+            worker.add_prefix(demand.segments)
 
-    def first_answer(self, now: float, step: Step, demand: Demand, key, elapsed: float) -> None:
-        """The prompt has been read, or the first event or whole answer has come, after `elapsed` ms."""
+    def record_first_response(self, now: float, step: Step, demand: Demand, key, elapsed_ms: float) -> None:
+        """The prefill has ended, or the first event or the complete response has come, after `elapsed_ms`."""
         step.worker.response_due_at.pop(key, None)
-        self._read_done(step)
-        step.worker.served(now, step.part, step.forecast_ms, elapsed)
+        self._subtract_prefill(step)
+        step.worker.record_success(now, step.phase, step.forecast_ms, elapsed_ms)
         self.model.train(
-            step.part, step.run, step.wait, 0.0, step.use, step.match, min(elapsed, 10 * step.forecast_ms)
+            step.phase,
+            step.run_ms,
+            step.wait_ms,
+            0.0,
+            step.slot_use,
+            step.prefix_match,
+            min(elapsed_ms, 10 * step.forecast_ms),
         )
-        if step.part is Part.PLAIN:
-            run = self.plain_run.setdefault(demand.route, PLAIN_RUN_MS)
-            self.plain_run[demand.route] = run + RUN_GAIN * (max(elapsed - step.wait, 1.0) - run)
-        if now >= self.refit_at:
-            self.refit_at = now + REFIT_MS
-            self.model.refit(FIRST_TOKEN_MS, Part)
-
-    def overtaken(self, now: float, step: Step, begun: float, last_heard: float, answered: bool) -> None:
-        """A call is about to be ended because another was faster.  This is no failure of its worker.
-
-        `last_heard`: when something of the call came last, or it began; `answered`: whether an answer has
-        begun.  A worker silent on all calls since then is spared until its next word; of another one it is
-        known that the call would have taken at least this long.
+        if step.phase is ServingPhase.PLAIN:
+            run_ms = self.plain_run_ms.setdefault(demand.route, PLAIN_RUN_MS)
+            self.plain_run_ms[demand.route] = run_ms + PLAIN_RUN_GAIN * (
+                max(elapsed_ms - step.wait_ms, 1.0) - run_ms
+            )
+        if now >= self.next_refit_at:
+            self.next_refit_at = now + REFIT_INTERVAL_MS
+            self.model.refit(FIRST_TOKEN_MS, ServingPhase)
+
+    def record_overtaken(
+        self, now: float, step: Step, started_at: float, last_received_at: float, responded: bool
+    ) -> None:
+        """A call is about to be cancelled because another was faster.  This is no failure of its worker.
+
+        `last_received_at`: when bytes of the call last came, or else its start.  `responded`: whether its
+        response has begun.  A worker that has been silent on all calls since then is ejected until bytes come
+        from it again.  Of another worker it is known that the call would have taken at least this long.
         """
-        if step.worker.heard_at <= last_heard:
+        if step.worker.last_received_at <= last_received_at:
             step.worker.suspect(now)
-        elif not answered and now - begun > step.forecast_ms:
-            step.worker.took(step.part, step.forecast_ms, now - begun)
+        elif not responded and now - started_at > step.forecast_ms:
+            step.worker.learn_pace(step.phase, step.forecast_ms, now - started_at)
 
-    def ended(self, now: float, step: Step, key, failed: bool = False, elapsed: float = 0.0) -> None:
-        """A call is over, one way or another."""
+    def record_ended(
+        self, now: float, step: Step, key, failed: bool = False, elapsed_ms: float = 0.0
+    ) -> None:
+        """A call has ended, for whatever reason."""
         worker = step.worker
         worker.unfinished -= 1
         worker.response_due_at.pop(key, None)
-        self._read_done(step)
+        self._subtract_prefill(step)
         if failed:
             worker.record_failure(now)
             self.model.train(
-                step.part, step.run, step.wait, 0.0, step.use, step.match, max(elapsed, step.forecast_ms)
+                step.phase,
+                step.run_ms,
+                step.wait_ms,
+                0.0,
+                step.slot_use,
+                step.prefix_match,
+                max(elapsed_ms, step.forecast_ms),
             )
 
     @staticmethod
-    def _read_done(step):
-        reads = step.worker.prefill_tokens
-        reads[step.rank] = max(reads[step.rank] - step.read, 0.0)
-        step.read = 0.0
+    def _subtract_prefill(step):
+        tokens = step.worker.prefill_tokens
+        tokens[step.rank] = max(tokens[step.rank] - step.prefill_tokens, 0.0)
+        step.prefill_tokens = 0.0
 
 
-def _move_crossing(reader, runner):
-    """What the draw counts for a move of memory between zones (ms): it is slower and dearer."""
-    return HANDOVER_COST_MS * (reader.zone != runner.zone)
+def _transfer_cost_ms(prefill_worker, decode_worker):
+    """Added cost of a KV cache transfer between zones, which is slower and more expensive."""
+    return KV_TRANSFER_COST_MS * (prefill_worker.zone != decode_worker.zone)
 
 
-def _forecast(plan):
+def _forecast_ms(plan):
     return plan.forecast_ms
 
 
-def _home_rank(worker, demand):
-    """Position of a worker among the homes of a request's shared prefix: alike at every scheduler."""
-    key = demand.shared[-1][0] if demand.shared else demand.route
+def _rendezvous_hash(worker, demand):
+    """Orders workers by preference for a request's shared prefix, lowest first, equally at all schedulers."""
+    key = demand.shared_segments[-1][0] if demand.shared_segments else demand.route
     return crc32(f"{worker.id}/{key}".encode())
--- a/molespur/policy/tracking.py
+++ b/molespur/policy/tracking.py
@@ -1,42 +1,45 @@
-"""What one scheduler knows of a worker: its own unfinished work there, reports, prefixes sent, failures."""
+"""One scheduler's view of a worker: its own calls there, load reports, cached prefixes and failures."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
 from enum import Enum
 from math import log
 
-LAG_MS = 400.0  # a report tells of about this long ago
-REPORT_KEPT_MS = 1500.0  # age at which a report counts half
-FAULTS, FIRST_REST_MS, LONGEST_REST_MS = 2.0, 1000.0, 6000.0
-PACE_GAIN, PACE_LEAST, PACE_MOST = 0.06, -0.7, 2.3
+REPORT_LAG_MS = 400.0  # a report describes the load of about this long ago
+REPORT_HALF_WEIGHT_MS = 1500.0  # age, beyond the lag, at which a report has half its weight
+EJECTION_FAILURES, MIN_EJECTION_MS, MAX_EJECTION_MS = 2.0, 1000.0, 6000.0
+PACE_GAIN, MIN_LOG_PACE, MAX_LOG_PACE = 0.06, -0.7, 2.3
 
 
-RANK_READ_MS = (0.0, 40.0, 80.0, 140.0, 260.0)  # longest read of each rank; a longer one has the last
-RANKS = len(RANK_READ_MS) + 1
-TYPICAL_READ_TOKENS = (0.0, 1500.0, 3000.0, 5500.0, 10_000.0, 17_500.0)  # of one read of each rank
-IN_PROGRESS_LEFT = 0.6  # part of a read that has begun which is still to come, on the mean
-IN_PROGRESS_CHANCE = 0.5  # that a read of a later rank has begun although earlier ones wait
+# Workers run short prefills first: a prefill's rank, 0 first, follows from its expected duration.
+RANK_MAX_PREFILL_MS = (0.0, 40.0, 80.0, 140.0, 260.0)  # longer prefills have the last rank
+RANKS = len(RANK_MAX_PREFILL_MS) + 1
+TYPICAL_PREFILL_TOKENS = (0.0, 1500.0, 3000.0, 5500.0, 10_000.0, 17_500.0)  # of one prefill of each rank
+IN_PROGRESS_REMAINING_SHARE = 0.6  # average share that is left of a prefill in progress
+IN_PROGRESS_PROBABILITY = 0.5  # that a prefill of a later rank is in progress although earlier ranks wait
 
 
-def rank_of(read_ms):
-    """Rank of a read by its length, 0 first."""
-    return next((rank for rank, longest in enumerate(RANK_READ_MS) if read_ms <= longest), RANKS - 1)
+def prefill_rank(prefill_ms):
+    """The rank of a prefill by its duration."""
+    return next(
+        (rank for rank, longest in enumerate(RANK_MAX_PREFILL_MS) if prefill_ms <= longest), RANKS - 1
+    )
 
 
-class Part(Enum):
-    """The part that a worker plays for a request; the model has a pace for each."""
+class ServingPhase(Enum):
+    """What a worker does for a request; the model has a pace for each."""
 
     PREFILL = "prefill"
-    DECODE = "decode"  # with the prompt's memory handed over
-    DIRECT = "direct"  # reads the prompt itself
+    DECODE = "decode"  # continues from the KV cache of a prefill worker
+    DIRECT = "direct"  # prefill and decode at the same worker
     PLAIN = "plain"  # a service without model workers
 
 
 @dataclass(slots=True)
-class Report:
-    """Load of a worker by its own word."""
+class LoadReport:
+    """The load that a worker reported for itself."""
 
-    at: float = float("-inf")
+    updated_at: float = float("-inf")
     active: int = 0
     queued: int = 0
     kv_used: float = 0.0
@@ -44,13 +47,13 @@
 
 
 @dataclass(slots=True)
-class Rest:
-    """Failures of a worker, and until when it is spared for them."""
+class Ejection:
+    """Outlier ejection: the failures of a worker, and until when it gets no requests for them."""
 
-    faults: float = 0.0
+    failures: float = 0.0
     until: float = float("-inf")
-    length_ms: float = FIRST_REST_MS
-    suspected: bool = False  # spared for its silence alone: its next word ends that
+    next_duration_ms: float = MIN_EJECTION_MS
+    suspected: bool = False  # ejected only for its silence: the next bytes from it end the ejection
 
 
 @dataclass(eq=False, slots=True)
@@ -63,117 +66,118 @@
     phase: str
     slots: int
     usable: bool = True
-    silent: bool = False
+    silent: bool = False  # to the control plane
     capacity_tokens: float = 0.0
-    prefill_tokens: list = field(
-        default_factory=lambda: [0.0] * RANKS
-    )  # own prompt tokens to be read there, by rank
-    peer_prefill_tokens: list = field(
-        default_factory=lambda: [0.0] * RANKS
-    )  # the same of schedulers that tell
-    peer_running: float = 0.0  # unfinished calls of schedulers that tell
-    peer_scale: float = 0.0  # schedulers for each that tells; 0: none tells, so that reports have to do
-    unfinished: int = 0  # own calls there
+    prefill_tokens: list = field(default_factory=lambda: [0.0] * RANKS)  # of own unfinished prefills, by rank
+    peer_prefill_tokens: list = field(default_factory=lambda: [0.0] * RANKS)  # of peers' prefills, by rank
+    peer_running: float = 0.0  # peers' unfinished calls
+    peer_scale: float = 0.0  # other schedulers per peer that sends its work; 0: none does, reports are used
+    unfinished: int = 0  # own calls
     response_due_at: OrderedDict = field(
         default_factory=OrderedDict
-    )  # own call without a first answer -> when it is due
-    report: Report = field(default_factory=Report)
-    prefixes: OrderedDict = field(default_factory=OrderedDict)  # part id -> tokens, least lately sent first
+    )  # own call without a first response -> when that is due
+    report: LoadReport = field(default_factory=LoadReport)
+    prefixes: OrderedDict = field(default_factory=OrderedDict)  # cached segment id -> tokens, in LRU order
     prefix_tokens: float = 0.0
-    rest: Rest = field(default_factory=Rest)
-    pace: dict = field(default_factory=dict)  # part -> log of observed over forecast time
-    heard_at: float = float("-inf")  # when it answered anything, or went on to
-    busy_since: float = float("-inf")  # since when own calls have been open there without a break
+    ejection: Ejection = field(default_factory=Ejection)
+    log_pace: dict = field(default_factory=dict)  # phase -> log of observed over forecast time
+    last_received_at: float = float("-inf")  # when bytes of any response last came from it
+    busy_since: float = float("-inf")  # since when it has had own calls without a break
 
-    def matched(self, parts):
-        """Tokens of the leading parts that were lately sent there."""
+    def cached_tokens(self, segments):
+        """Tokens of the leading segments that were recently sent there."""
         total = 0.0
-        for part_id, tokens in parts:
-            if part_id not in self.prefixes:
+        for segment_id, tokens in segments:
+            if segment_id not in self.prefixes:
                 break
             total += tokens
         return total
 
-    def remember(self, parts):
-        """These parts are there now; those unused longest give way."""
-        for part_id, tokens in parts:
-            if part_id in self.prefixes:
-                self.prefixes.move_to_end(part_id)
+    def add_prefix(self, segments):
+        """Note that these segments are cached there now; evict the least recently used ones."""
+        for segment_id, tokens in segments:
+            if segment_id in self.prefixes:
+                self.prefixes.move_to_end(segment_id)
             else:
-                self.prefixes[part_id] = tokens
+                self.prefixes[segment_id] = tokens
                 self.prefix_tokens += tokens
         while self.prefix_tokens > max(self.capacity_tokens, 1.0) and self.prefixes:
             self.prefix_tokens -= self.prefixes.popitem(last=False)[1]
 
     @property
     def unknown_peer_share(self):
-        """Share of the other schedulers whose work is not known; 1 where none tells."""
+        """Share of the other schedulers whose work is unknown; 1 where none sends it."""
         return 1.0 - 1.0 / self.peer_scale if self.peer_scale else 1.0
 
-    def others(self, now):
-        """Requests of other schedulers there: by their own word, else by the last report and its age."""
+    def other_requests(self, now):
+        """Requests of other schedulers: as peers announced them, else from the last report by its age."""
         if self.peer_scale:
             return self.peer_running * self.peer_scale
         reported = self.report.active + self.report.queued
-        trust = REPORT_KEPT_MS / (REPORT_KEPT_MS + max(now - self.report.at - LAG_MS, 0.0))
-        return max(reported - self.unfinished, 0.0) * trust
+        weight = REPORT_HALF_WEIGHT_MS / (
+            REPORT_HALF_WEIGHT_MS + max(now - self.report.updated_at - REPORT_LAG_MS, 0.0)
+        )
+        return max(reported - self.unfinished, 0.0) * weight
 
     @property
-    def reading(self):
-        """Own prompt tokens to be read there."""
+    def total_prefill_tokens(self):
+        """Tokens of all own unfinished prefills."""
         return sum(self.prefill_tokens)
 
-    def ahead(self, rank):
-        """Prompt tokens that are read there before a new read of this rank."""
+    def prefill_tokens_ahead(self, rank):
+        """Tokens that the worker prefills before a new prefill of this rank."""
         pairs = zip(self.prefill_tokens, self.peer_prefill_tokens, strict=True)
         outstanding = [own + self.peer_scale * peers for own, peers in pairs]
         first, later = sum(outstanding[: rank + 1]), outstanding[rank + 1 :]
-        in_progress = max(map(min, later, TYPICAL_READ_TOKENS[rank + 1 :]), default=0.0)
-        return first + IN_PROGRESS_LEFT * in_progress * (IN_PROGRESS_CHANCE if first else 1.0)
+        in_progress = max(map(min, later, TYPICAL_PREFILL_TOKENS[rank + 1 :]), default=0.0)
+        return first + IN_PROGRESS_REMAINING_SHARE * in_progress * (IN_PROGRESS_PROBABILITY if first else 1.0)
 
-    def overdue(self, now):
-        """By how much the oldest call there that has no answer yet is late."""
+    def overdue_ms(self, now):
+        """By how much the first response of the oldest call without one is late."""
         if not self.response_due_at:
             return 0.0
         return max(now - next(iter(self.response_due_at.values())), 0.0)
 
-    def resting(self, now):
-        """Whether it is spared now, for its failures or its silence."""
-        return self.rest.until > now
+    def is_ejected(self, now):
+        """Whether it gets no requests now because of failures or silence."""
+        return self.ejection.until > now
 
-    def rests(self, now, quiet_ms):
-        """Whether it has own calls and has said nothing on any of them for so long."""
-        return self.unfinished > 0 and now - max(self.heard_at, self.busy_since) >= quiet_ms
+    def is_unresponsive(self, now, silence_ms):
+        """Whether it has own calls and has sent nothing on any of them for this long."""
+        return self.unfinished > 0 and now - max(self.last_received_at, self.busy_since) >= silence_ms
 
-    def heard(self, now):
-        """Bytes of an answer have come from it."""
-        self.heard_at = now
-        if self.rest.suspected:
-            self.rest.suspected, self.rest.until = False, now
+    def record_received(self, now):
+        """Bytes of a response have come from it: ends an ejection for silence."""
+        self.last_received_at = now
+        if self.ejection.suspected:
+            self.ejection.suspected, self.ejection.until = False, now
 
     def suspect(self, now):
-        """It has been silent on all calls while another went on; no failure, and its next word refutes it."""
-        if not self.resting(now):
-            self.rest.suspected, self.rest.until = True, now + FIRST_REST_MS
+        """Eject it because it was silent on all calls; this is no failure, and its next bytes end it."""
+        if not self.is_ejected(now):
+            self.ejection.suspected, self.ejection.until = True, now + MIN_EJECTION_MS
 
     def record_failure(self, now, weight=1.0):
-        """A call there has failed; several in a row let it rest, twice as long each time."""
-        self.rest.faults += weight
-        if self.rest.faults >= FAULTS and (self.rest.suspected or not self.resting(now)):
-            self.rest.suspected = False
-            self.rest.until = now + self.rest.length_ms
-            self.rest.length_ms = min(2 * self.rest.length_ms, LONGEST_REST_MS)
-            self.rest.faults = FAULTS / 2  # the next failure after its rest counts at once
-
-    def served(self, now, part, forecast, elapsed):
-        """A call there has gone well."""
-        self.heard(now)
-        self.rest.faults /= 2
-        self.rest.length_ms = max(self.rest.length_ms / 2, FIRST_REST_MS)
-        self.took(part, forecast, elapsed)
-
-    def took(self, part, forecast, elapsed):
-        """A call there took so long, or at least so long, where it was forecast otherwise."""
-        ratio = log(max(elapsed, 1.0) / max(forecast, 1.0))
-        pace = self.pace.get(part, 0.0) + PACE_GAIN * min(max(ratio, -1.5), 1.5)
-        self.pace[part] = min(max(pace, PACE_LEAST), PACE_MOST)
+        """A call there has failed; several in a row eject it, each time for twice as long."""
+        self.ejection.failures += weight
+        if self.ejection.failures >= EJECTION_FAILURES and (
+            self.ejection.suspected or not self.is_ejected(now)
+        ):
+            self.ejection.suspected = False
+            self.ejection.until = now + self.ejection.next_duration_ms
+            self.ejection.next_duration_ms = min(2 * self.ejection.next_duration_ms, MAX_EJECTION_MS)
+            # the next failure after the ejection ejects it again at once
+            self.ejection.failures = EJECTION_FAILURES / 2
+
+    def record_success(self, now, phase, forecast_ms, elapsed_ms):
+        """A call there has had its first response."""
+        self.record_received(now)
+        self.ejection.failures /= 2
+        self.ejection.next_duration_ms = max(self.ejection.next_duration_ms / 2, MIN_EJECTION_MS)
+        self.learn_pace(phase, forecast_ms, elapsed_ms)
+
+    def learn_pace(self, phase, forecast_ms, elapsed_ms):
+        """Adjust the pace by a call that took this long, or at least this long, in place of its forecast."""
+        ratio = log(max(elapsed_ms, 1.0) / max(forecast_ms, 1.0))
+        pace = self.log_pace.get(phase, 0.0) + PACE_GAIN * min(max(ratio, -1.5), 1.5)
+        self.log_pace[phase] = min(max(pace, MIN_LOG_PACE), MAX_LOG_PACE)
--- a/molespur/system/data_plane/answer_checks.py
+++ b/molespur/system/data_plane/answer_checks.py
@@ -1,4 +1,4 @@
-"""Whether what a worker has answered is an answer to this request, and what it says.  Pure."""
+"""Checks that a worker's response belongs to this request, and reads prefill handles.  Pure."""
 
 import json
 
@@ -6,36 +6,38 @@
 from .upstream import ATTEMPT_ID, NOT_EXECUTED, STAMP, Head, UpstreamError
 
 
-def check_head(head: Head, attempt_id: bytes, stamped: bool = True) -> None:
-    """Raise UpstreamError unless this is a worker's answer to this attempt.
+def check_head(head: Head, attempt_id: bytes, needs_stamp: bool = True) -> None:
+    """Raise UpstreamError unless this is a worker's response to this attempt.
 
-    `stamped`: it is to go to the client, so a success has to carry the worker's stamp.
+    `needs_stamp`: the response goes to the client, so a success has to carry the worker's stamp.
     """
     response_attempt_id = head.get(ATTEMPT_ID)
     rejected = head.get(NOT_EXECUTED) is not None or head.status == 421
     if rejected and response_attempt_id in (attempt_id, None):
-        raise UpstreamError(Failure.REJECTED, f"status {head.status}")
-    if response_attempt_id != attempt_id:  # a rejection of another request says nothing of this one
-        raise UpstreamError(Failure.MAY_HAVE_RUN, "an answer to another request")
+        raise UpstreamError(Failure.REJECTED, f"rejected with status {head.status}")
+    if response_attempt_id != attempt_id:  # a rejection of another request proves nothing about this one
+        raise UpstreamError(Failure.MAY_HAVE_RUN, "response to another request")
     if head.get(b"content-encoding") is not None:
-        raise UpstreamError(Failure.MAY_HAVE_RUN, "an encoded body")
-    if head.status < 200 or (stamped and head.status < 300 and head.get(STAMP) is None):
-        raise UpstreamError(Failure.MAY_HAVE_RUN, f"status {head.status} without a stamp")
+        raise UpstreamError(Failure.MAY_HAVE_RUN, "response body is encoded")
+    if head.status < 200 or (needs_stamp and head.status < 300 and head.get(STAMP) is None):
+        raise UpstreamError(Failure.MAY_HAVE_RUN, f"status {head.status} without the worker's stamp")
     if head.status in (429, 503, 408) or 300 <= head.status < 400:
-        raise UpstreamError(Failure.MAY_HAVE_RUN, f"status {head.status} without a promise")
+        raise UpstreamError(
+            Failure.MAY_HAVE_RUN, f"status {head.status} does not state that the request was not executed"
+        )
 
 
 def is_framed(head: Head) -> bool:
-    """Whether the end of the body can be told from a connection that broke."""
+    """Whether the end of the body can be told from a broken connection."""
     return head.get(b"transfer-encoding") is not None or head.get(b"content-length") is not None
 
 
 def read_handle(body: bytes) -> str:
-    """The handle that a prefill call has given.  Raises UpstreamError."""
+    """The handle in the response to a prefill call.  Raises UpstreamError."""
     try:
         handle = json.loads(body)["PrefillHandle"]
     except (ValueError, KeyError, TypeError) as error:
-        raise UpstreamError(Failure.MAY_HAVE_RUN, f"no handle: {error!r}") from error
+        raise UpstreamError(Failure.MAY_HAVE_RUN, f"prefill response has no handle: {error!r}") from error
     if not isinstance(handle, str) or not handle.isalnum():
-        raise UpstreamError(Failure.MAY_HAVE_RUN, "a handle that makes no sense")
+        raise UpstreamError(Failure.MAY_HAVE_RUN, "prefill handle is not alphanumeric")
     return handle
--- a/molespur/system/data_plane/client_answer.py
+++ b/molespur/system/data_plane/client_answer.py
@@ -1,4 +1,4 @@
-"""The way back to the client: one head, events in order, each once, from one version of the weights."""
+"""The response to the client: one head, each event once and in order, from one version of the weights."""
 
 from .events import EventFilter
 from .exchange_messages import Failure
@@ -11,30 +11,32 @@
 
 
 class ClientResponse:
-    """What has gone to the client so far; `send` is the server's (ASGI)."""
+    """What has been sent to the client so far; `send` is the server's (ASGI)."""
 
     def __init__(self, context: ServingContext, send, last_event_id: bytes):
         self._context, self._send = context, send
         self.head_sent = False
-        self.last_event_id = last_event_id  # up to which the client has the stream
-        self._versions: bytes | None = None  # of the weights that the stream came from
+        self.last_event_id = last_event_id  # of the last event that the client has
+        self._versions: bytes | None = None  # of the weights that the stream was generated with
 
     def check_continues(self, head: Head) -> None:
-        """Raise UpstreamError unless an answer with this head can go on with what the client has."""
+        """Raise UpstreamError unless a response with this head can continue what the client has."""
         if not self.head_sent:
             return
         if not 200 <= head.status < 300:
-            raise UpstreamError(Failure.MAY_HAVE_RUN, f"status {head.status} in place of a stream's rest")
+            raise UpstreamError(
+                Failure.MAY_HAVE_RUN, f"status {head.status} in response to a stream resumption"
+            )
         if head.get(VERSIONS) != self._versions:
-            raise UpstreamError(Failure.MAY_HAVE_RUN, "the rest of a stream from other weights")
+            raise UpstreamError(Failure.MAY_HAVE_RUN, "resumed stream comes from other model weights")
 
     async def send_complete(self, head: Head, body: bytes) -> None:
-        """A worker's whole answer."""
+        """Send a worker's complete response."""
         await self._send_head(head, len(body))
         await self._send({"type": "http.response.body", "body": body, "more_body": False})
 
     async def send_events(self, head: Head, events: bytes, source: EventFilter) -> None:
-        """Whole events that follow what the client has; `source` has taken them in."""
+        """Send complete events that follow those that the client has; `source` has parsed them."""
         self.last_event_id = source.last_id
         self._versions = source.versions
         if not self.head_sent:
@@ -42,14 +44,14 @@
         await self._send({"type": "http.response.body", "body": events, "more_body": True})
 
     async def end_stream(self, head: Head, rest: bytes) -> None:
-        """The end of a stream, and what followed its last event."""
+        """Send what followed the last event, and end the stream."""
         if not self.head_sent:
             await self._send_head(head, None)
         await self._send({"type": "http.response.body", "body": rest, "more_body": False})
 
     async def _send_head(self, head: Head, length: int | None) -> None:
         self.head_sent = True
-        self._context.counts.answers[str(head.status), WORKER] += 1
+        self._context.counts.responses[str(head.status), WORKER] += 1
         headers = [(k, v) for k, v in head.headers if k not in NOT_FORWARDED and k != b"content-length"]
         if length is not None:
             headers.append((b"content-length", str(length).encode()))
--- a/molespur/system/data_plane/client_request.py
+++ b/molespur/system/data_plane/client_request.py
@@ -1,4 +1,4 @@
-"""A client's request: what of it matters here, and what goes on to a worker unchanged."""
+"""Parses a client's request: what decides its route and workers, and the headers that are forwarded."""
 
 from dataclasses import dataclass
 
@@ -15,13 +15,13 @@
      b"priority")
 )  # fmt: skip
 NOT_FORWARDED = HOP_BY_HOP | SET_BY_SCHEDULER
-END_TO_END_PREFIX = b"molespur-"  # no `Connection` header can take these away
+END_TO_END_PREFIX = b"molespur-"  # a `Connection` header can't remove these
 DEFAULT_DEADLINE_MS = 30_000.0
 
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One request, read whole.  `target` is path and query as sent; header names keep their case."""
+    """One complete request.  `target` is path and query as sent; header names keep their case."""
 
     method: str
     target: bytes
@@ -37,7 +37,7 @@
 
 
 def read_head(scope, limits: Limits) -> ClientRequest:
-    """A request from its ASGI scope.  Raises FleetError."""
+    """Parse a request from its ASGI scope.  Raises FleetError."""
     raw_path, query = scope["raw_path"], scope["query_string"]
     headers, named, size = [], {}, len(raw_path)
     nominated = set()
@@ -57,7 +57,7 @@
     attempt_id = named.get(b"molespur-attempt-id", b"")
     host = named.get(b"host", b"").decode("latin1")
     if not attempt_id or not host:
-        raise FleetError(ErrorKind.MALFORMED, "Host and Molespur-Attempt-Id are needed")
+        raise FleetError(ErrorKind.MALFORMED, "headers Host and Molespur-Attempt-Id are required")
     return ClientRequest(
         method=scope["method"],
         target=raw_path + (b"?" + query if query else b""),
@@ -72,36 +72,38 @@
     )
 
 
-def demand_of(request: ClientRequest, route: Route, service: Service, now: float, lowest: bool) -> Demand:
-    """What the request asks of the decisions."""
-    engine, tokens, parts = None, 0.0, ()
+def demand_of(
+    request: ClientRequest, route: Route, service: Service, now: float, lowest_priority: bool
+) -> Demand:
+    """What the policy has to know of the request."""
+    engine, tokens, segments = None, 0.0, ()
     if service.engine is not None and request.usage:
         shape = service.engine
         engine = EngineShape(shape.kv_token_bytes, shape.bandwidth_mbps, shape.kv_capacity_tokens)
         tokens = _number(request.usage.partition(b",")[0], 0.0)
-        parts = _parts(request.prefix)
+        segments = _segments(request.prefix)
     deadline = min(request.deadline_ms, route.timeout_ms)
     return Demand(
         route=route.name,
-        aim_at=now + min(route.target_latency_ms, deadline),
+        target_at=now + min(route.target_latency_ms, deadline),
         deadline_at=now + deadline,
         engine=engine,
         tokens=tokens,
-        parts=parts,
+        segments=segments,
         repeatable=route.repeatable,
-        lowest_priority=lowest,
+        lowest_priority=lowest_priority,
     )
 
 
-def _parts(header: bytes) -> tuple[tuple[str, float], ...]:
-    """The prompt's parts in order; a header that can't be read counts as none."""
-    parts = []
+def _segments(header: bytes) -> tuple[tuple[str, float], ...]:
+    """The prompt's prefix segments in order; none for a header that can't be parsed."""
+    segments = []
     for item in header.decode("latin1").split(","):
-        part_id, _, tokens = item.strip().partition(":")
-        if not part_id or not tokens.isdigit():
+        segment_id, _, tokens = item.strip().partition(":")
+        if not segment_id or not tokens.isdigit():
             return ()
-        parts.append((part_id, float(tokens)))
-    return tuple(parts)
+        segments.append((segment_id, float(tokens)))
+    return tuple(segments)
 
 
 def _number(value: bytes | None, default: float) -> float:
--- a/molespur/system/data_plane/endings.py
+++ b/molespur/system/data_plane/endings.py
@@ -1,23 +1,23 @@
-"""Why answers to clients end: a closed list of facts; `docs/design/endings.md` has the table."""
+"""Why responses to clients end; `docs/design/endings.md` has the table."""
 
 from enum import Enum
 
 
 class EndReason(Enum):
-    """What has ended the answer to one request."""
+    """What has ended the response to one request.  The values are labels of the metric `answers_ended`."""
 
-    WHOLE = "whole"  # a worker's answer has gone back to its end
-    OWN_ANSWER = "own-answer"  # answered by an error kind; `answers` tells which
+    COMPLETE = "whole"  # a worker's complete response was sent
+    ERROR_RESPONSE = "own-answer"  # the scheduler sent an error; the metric `answers` has its kind
     WORKER_BROKE_OFF = "worker-broke-off"  # in the middle of a stream that can't be resumed
     CLIENT_DEADLINE = "client-deadline"
     ROUTE_TIMEOUT = "route-timeout"
-    CLIENT_GONE = "client-gone"
-    GRACE_OVER = "grace-over"  # the process was told to stop, and its grace period is over
-    INTERNAL_ERROR = "internal-error"  # a fault of this program
+    CLIENT_DISCONNECTED = "client-gone"
+    GRACE_PERIOD_OVER = "grace-over"  # the process is stopping and its grace period is over
+    INTERNAL_ERROR = "internal-error"  # a bug in this program
 
 
-class AnswerCut(Exception):
-    """The client's answer can't be ended: its connection is closed without an end."""
+class ResponseAborted(Exception):
+    """The client's response can't be completed: its connection is closed before the end of the response."""
 
     def __init__(self, reason: EndReason):
         super().__init__(reason.value)
--- a/molespur/system/data_plane/events.py
+++ b/molespur/system/data_plane/events.py
@@ -1,4 +1,4 @@
-"""Events of a stream (text/event-stream): only whole ones go on, and the last id is known.  Pure."""
+"""Events of a stream (text/event-stream): passes on complete events and knows the last id.  Pure."""
 
 from dataclasses import dataclass, field
 
@@ -9,26 +9,26 @@
 
 @dataclass(slots=True)
 class EventFilter:
-    """Holds back the bytes of an event that has not arrived whole."""
+    """Holds back the bytes of an event that has not arrived completely."""
 
     last_id: bytes = b""
-    versions: bytes | None = None  # of the weights that the last event came from
+    versions: bytes | None = None  # of the weights that the last event was generated with
     _tail: bytearray = field(default_factory=bytearray)
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes as they arrive; return those of whole events."""
+        """Take bytes as they arrive; return those of complete events."""
         self._tail += data
         end = self._tail.rfind(SEPARATOR)
         if end < 0:
             return b""
-        whole = bytes(self._tail[: end + len(SEPARATOR)])
+        complete = bytes(self._tail[: end + len(SEPARATOR)])
         del self._tail[: end + len(SEPARATOR)]
-        self.last_id = _last_value(whole, ID) or self.last_id
-        self.versions = _last_value(whole, VERSIONS) or self.versions
-        return whole
+        self.last_id = _last_value(complete, ID) or self.last_id
+        self.versions = _last_value(complete, VERSIONS) or self.versions
+        return complete
 
-    def rest(self) -> bytes:
-        """What is left at the end of a stream that has ended well."""
+    def take_rest(self) -> bytes:
+        """Return the bytes after the last event, at the end of a complete stream."""
         rest = bytes(self._tail)
         self._tail.clear()
         return rest
@@ -45,7 +45,7 @@
 
 
 def follows(events: bytes, last_id: bytes) -> bool:
-    """Whether the first of these events comes after the one of this id; only ids that are numbers tell."""
+    """Whether the first of these events comes after the event `last_id`; True unless both ids are numbers."""
     if not events.startswith(ID):
         start = events.find(b"\n" + ID)
         if start < 0:
--- a/molespur/system/data_plane/exchange_messages.py
+++ b/molespur/system/data_plane/exchange_messages.py
@@ -1,6 +1,6 @@
-"""What goes into and comes out of an exchange: events of its attempts, and actions to take.  Plain data.
+"""The events that go into an exchange and the actions that come out of it.  Plain data.
 
-An attempt has a number; its events name it, and so do the actions that begin or end it.
+Attempts are numbered.  Events name the attempt that they concern; so do actions that start or end one.
 """
 
 from dataclasses import dataclass
@@ -12,45 +12,45 @@
 
 
 class State(Enum):
-    """Where a request is."""
+    """The state of a request."""
 
     NEW = "new"
-    OPEN = "open"  # attempts are out; nothing has gone to the client
-    ANSWERING = "answering"  # a part of the answer has gone to the client
+    OPEN = "open"  # attempts are open; nothing has been sent to the client
+    RESPONDING = "responding"  # a part of the response has been sent to the client
     DONE = "done"
 
 
 class Failure(Enum):
     """How far an attempt came before it failed."""
 
-    NOT_SENT = "not-sent"  # no connection came up
-    REJECTED = "rejected"  # the worker says that it did not run it
-    MAY_HAVE_RUN = "may-have-run"  # bytes went out, and no answer that can be used came
+    NOT_SENT = "not-sent"  # no connection could be opened
+    REJECTED = "rejected"  # the worker replied that it did not run the request
+    MAY_HAVE_RUN = "may-have-run"  # bytes were sent, and no usable response came
 
 
 class HedgeRefusal(Enum):
-    """Why no second attempt is begun beside one that is silent."""
+    """Why no hedge is started beside a silent attempt.  The values are labels of the metric `hedges`."""
 
     NOT_REPEATABLE = "not-repeatable"
     NO_ATTEMPT = "no-attempt"  # the route's attempts are used up
     NO_TIME = "no-time"
     NO_WORKER = "no-worker"
-    NO_BUDGET = "no-budget"  # no right to a repeat
-    SHARE_USED = "share-used"  # hedges have had their share of the traffic
-    MOST_WORKERS_REST = "most-workers-rest"
+    NO_BUDGET = "no-budget"  # the retry budget is used up
+    SHARE_USED = "share-used"  # hedges have used their share of the traffic
+    MOST_WORKERS_SILENT = "most-workers-rest"
 
 
 # -- Events ----------------------------------------------------------------------------------------
 
 
 @dataclass(slots=True)
-class Begin:
-    """The request has come in whole."""
+class RequestReceived:
+    """The complete request has been received."""
 
 
 @dataclass(slots=True)
-class PromptRead:
-    """The prefill call of an attempt has given a handle."""
+class PrefillCompleted:
+    """The prefill call of an attempt has returned a handle of the KV cache."""
 
     attempt: int
     handle: str
@@ -58,41 +58,43 @@
 
 @dataclass(slots=True)
 class AttemptSilent:
-    """Nothing has come of an attempt for a while.  This proves nothing: the attempt stays open."""
+    """Nothing has been received of an attempt for a while.  This proves nothing: the attempt stays open."""
 
     attempt: int
 
 
 @dataclass(slots=True)
-class AttemptProgress:
-    """An attempt has brought what can go to the client next: a whole event, or a whole answer."""
+class AttemptProgressed:
+    """An attempt has the next bytes for the client: a complete event, or a complete response."""
 
     attempt: int
 
 
 @dataclass(slots=True)
 class AttemptFailed:
-    """The call of an attempt has ended, and not with the end of an answer."""
+    """The call of an attempt has ended without a complete response."""
 
     attempt: int
     failure: Failure
 
 
 @dataclass(slots=True)
-class AnswerEnded:
-    """The whole answer has gone to the client."""
+class ResponseCompleted:
+    """The complete response has been sent to the client."""
 
     attempt: int
 
 
-Event = Begin | PromptRead | AttemptSilent | AttemptProgress | AttemptFailed | AnswerEnded
+Event = (
+    RequestReceived | PrefillCompleted | AttemptSilent | AttemptProgressed | AttemptFailed | ResponseCompleted
+)
 
 # -- Actions ---------------------------------------------------------------------------------------
 
 
 @dataclass(slots=True)
-class Read:
-    """Call a worker to read the prompt apart."""
+class StartPrefill:
+    """Call a prefill worker."""
 
     attempt: int
     step: Step
@@ -100,10 +102,10 @@
 
 
 @dataclass(slots=True)
-class Run:
-    """Call a worker for the answer; with the address and handle of the memory that was read apart.
+class StartRun:
+    """Call a worker for the response; `source` and `handle` locate the KV cache of a separate prefill.
 
-    `resume`: the client has got a part of the answer; go on after it.
+    `resume`: the client has received a part of the response; continue after it.
     """
 
     attempt: int
@@ -116,26 +118,26 @@
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """End the call of an attempt: another one was faster."""
+    """Cancel the call of an attempt: another one was faster."""
 
     attempt: int
 
 
 @dataclass(slots=True)
-class Answer:
-    """End the request with an answer of our own."""
+class RespondWithError:
+    """End the request with an error response of the scheduler."""
 
     kind: ErrorKind
 
 
 @dataclass(slots=True)
 class AbortResponse:
-    """Close the client's connection: its answer can't be ended."""
+    """Close the client's connection: its response can't be completed."""
 
 
 @dataclass(slots=True)
 class Finish:
-    """Nothing is left to do."""
+    """End the request; the client has the complete response."""
 
 
-Action = Read | Run | CancelAttempt | Answer | AbortResponse | Finish
+Action = StartPrefill | StartRun | CancelAttempt | RespondWithError | AbortResponse | Finish
--- a/molespur/system/data_plane/figures.py
+++ b/molespur/system/data_plane/figures.py
@@ -1,4 +1,4 @@
-"""The figures of a data-plane process."""
+"""The metrics of a data-plane process."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 from .state import DataPlaneState
 from .upstream import Upstreams
 
-MAX_AGE_MS = 1e9  # shown where nothing is certain
+MAX_AGE_MS = 1e9  # exposed while the age is unknown
 
 
 def metrics(
@@ -20,7 +20,7 @@
     follower: FeedFollower,
     open_requests: Callable[[], int],
 ) -> list[Metric]:
-    """All figures as they are now."""
+    """All metrics with their current values."""
     workers = Counter()
     for service, tracks in state.workers.items():
         for track in tracks.values():
@@ -33,28 +33,28 @@
         Metric(
             "answers",
             MetricKind.COUNTER,
-            "Answers to clients, by status and source: a worker, or an error kind of the data plane.",
+            "Responses to clients, by status and source: a worker, or an error kind of the data plane.",
             ("status", "source"),
-            dict(counts.answers),
+            dict(counts.responses),
         ),
         Metric(
             "worker_calls",
             MetricKind.COUNTER,
-            "Calls to workers that have ended, by part and outcome.",
+            "Calls to workers that have ended, by serving phase and outcome.",
             ("part", "outcome"),
             dict(counts.calls),
         ),
         Metric(
             "answers_ended",
             MetricKind.COUNTER,
-            "Requests whose answers have ended, by what has ended them.",
+            "Requests whose responses have ended, by the reason of the end.",
             ("reason",),
             {(reason.value,): float(count) for reason, count in counts.ended.items()},
         ),
         Metric(
             "hedges",
             MetricKind.COUNTER,
-            "Second attempts beside silent ones: begun, won, or not begun and why.",
+            "Second attempts beside silent ones: begun, won, or the reason of a refusal.",
             ("service", "outcome"),
             {
                 (service, outcome): float(count)
@@ -62,24 +62,24 @@
                 for outcome, count in gate.outcomes.items()
             },
         ),
-        counter("worker_connections_opened", "Connections opened to workers.", upstreams.opened),
-        gauge("open_requests", "Requests of clients under way.", open_requests()),
+        counter("worker_connections_opened", "Connections opened to workers.", upstreams.total_opened),
+        gauge("open_requests", "Open requests of clients.", open_requests()),
         gauge(
             "configuration_version", "Version in force; 0 before the first.", state.configuration_version()
         ),
-        gauge("schedulers", "Schedulers that the control plane has told of.", state.schedulers),
+        gauge("schedulers", "Schedulers that the control plane has announced.", state.schedulers),
         Metric(
             "workers", MetricKind.GAUGE, "Workers by service and state.", ("service", "state"), dict(workers)
         ),
-        Metric("unfinished_calls", MetricKind.GAUGE, "Own calls under way.", ("service",), unfinished),
+        Metric("unfinished_calls", MetricKind.GAUGE, "Open calls to workers.", ("service",), unfinished),
         Metric(
             "feed_offset",
             MetricKind.GAUGE,
-            "Offset up to which each shard has been told.",
+            "Offset up to which each shard's feed has been received.",
             ("shard",),
             {(group,): float(offset) for group, offset in follower.offsets.items()},
         ),
-        gauge("state_age_ms", "Time since which something may be acknowledged that is not known here, ms.",
+        gauge("state_age_ms", "Changes acknowledged within this time may not be known here yet, ms.",
               min(follower.age_ms(), MAX_AGE_MS)),
         gauge("config_age_ms", "The same for the configuration alone, ms.",
               min(follower.configuration_age_ms(), MAX_AGE_MS)),
--- a/molespur/system/data_plane/hedging.py
+++ b/molespur/system/data_plane/hedging.py
@@ -1,10 +1,12 @@
-"""How many second attempts a scheduler may begin beside silent ones, for one service.  Pure; times are ms.
-
-A hedge beside a call whose worker answers others is a bet on a faster one: such bets have a small share of
-the traffic, so that they can't grow with the load they make (Dean and Barroso, "The Tail at Scale", 2013).
-Beside a worker that has said nothing at all since, it stands in for an attempt that is probably lost: only
-the retry budget bounds it.  While most workers that are at work say nothing, all of them are overloaded: a
-second attempt would make it worse, and none is begun.
+"""Limits one scheduler's hedges for one service: second attempts beside silent ones.  Pure; times are ms.
+
+- A hedge beside a call whose worker responds to other calls may only save time.  Such hedges get a small
+  share of the traffic, so that they can't grow with the load that they cause (Dean and Barroso, "The Tail at
+  Scale", 2013).
+- A hedge beside a worker that is unresponsive replaces an attempt that is probably lost.  Only the retry
+  budget limits these.
+- While most busy workers are unresponsive, all of them are overloaded.  Second attempts would add to the
+  load, and none is started.
 """
 
 from collections import Counter
@@ -13,48 +15,48 @@
 from ...policy.tracking import WorkerTrack
 from .exchange_messages import HedgeRefusal
 
-SHARE = 0.02  # hedges to a request, beside workers that answer others
-MOST_SAVED = 2.0  # hedges that may be begun at once after a quiet time
-REST_MS = 500.0  # a worker with work that has said nothing for so long rests
-LEAST_SAMPLE = 3  # workers at work from which on their rests tell of the load
-MOST_RESTING = 0.5  # share of them
+HEDGES_PER_REQUEST = 0.02  # beside workers that respond to other calls
+MAX_SAVED_HEDGES = 2.0  # that may start at once after a time without any
+UNRESPONSIVE_MS = 500.0  # a worker with open calls that has sent nothing for this long is unresponsive
+MIN_BUSY_WORKERS = 3  # with fewer busy workers, unresponsive ones indicate no overload
+MAX_UNRESPONSIVE_SHARE = 0.5  # of the busy workers
 
 
 class HedgeGate:
-    """What one scheduler may begin for one service.  `workers` gives its workers as they are now."""
+    """Allows or refuses hedges.  `workers` lists the service's workers as they are now."""
 
     def __init__(self, workers: Callable[[], Iterable[WorkerTrack]]):
         self._workers = workers
         self._saved_hedges = 1.0
         self.outcomes: Counter[str] = Counter()
 
-    def request(self) -> None:
-        """A client's request for the service has come."""
-        self._saved_hedges = min(self._saved_hedges + SHARE, MOST_SAVED)
+    def count_request(self) -> None:
+        """A client's request for the service has been received."""
+        self._saved_hedges = min(self._saved_hedges + HEDGES_PER_REQUEST, MAX_SAVED_HEDGES)
 
     def refusal(self, now: float, silent: WorkerTrack) -> HedgeRefusal | None:
-        """Why none may be begun beside a call to this worker now; None if one may."""
+        """Why no hedge may start beside a call to this worker now; None if one may."""
         if self._most_workers_silent(now):
-            return HedgeRefusal.MOST_WORKERS_REST
-        if not silent.rests(now, REST_MS) and self._saved_hedges < 1.0:
+            return HedgeRefusal.MOST_WORKERS_SILENT
+        if not silent.is_unresponsive(now, UNRESPONSIVE_MS) and self._saved_hedges < 1.0:
             return HedgeRefusal.SHARE_USED
         return None
 
-    def began(self, now: float, silent: WorkerTrack) -> None:
-        """One was begun beside a call to this worker."""
+    def count_started(self, now: float, silent: WorkerTrack) -> None:
+        """A hedge has started beside a call to this worker."""
         self.outcomes["begun"] += 1
-        if not silent.rests(now, REST_MS):
+        if not silent.is_unresponsive(now, UNRESPONSIVE_MS):
             self._saved_hedges -= 1.0
 
-    def won(self) -> None:
-        """One has brought the next event or the answer before the silent attempt did."""
+    def count_won(self) -> None:
+        """A hedge had the next event or the response before the silent attempt."""
         self.outcomes["won"] += 1
 
-    def refused(self, reason: HedgeRefusal) -> None:
-        """One was not begun."""
+    def count_refused(self, reason: HedgeRefusal) -> None:
+        """A hedge was refused."""
         self.outcomes[reason.value] += 1
 
     def _most_workers_silent(self, now: float) -> bool:
-        at_work = [worker for worker in self._workers() if worker.unfinished]
-        resting = sum(worker.rests(now, REST_MS) for worker in at_work)
-        return len(at_work) >= LEAST_SAMPLE and resting > MOST_RESTING * len(at_work)
+        busy = [worker for worker in self._workers() if worker.unfinished]
+        unresponsive = sum(worker.is_unresponsive(now, UNRESPONSIVE_MS) for worker in busy)
+        return len(busy) >= MIN_BUSY_WORKERS and unresponsive > MAX_UNRESPONSIVE_SHARE * len(busy)
--- a/molespur/system/data_plane/http.py
+++ b/molespur/system/data_plane/http.py
@@ -1,4 +1,4 @@
-"""HTTP of the data plane: the application that clients reach, and the answer to the readiness check."""
+"""The HTTP applications of the data plane: one for clients, one for the readiness check and the metrics."""
 
 from collections.abc import Callable
 from contextlib import suppress
@@ -8,20 +8,20 @@
 from ..metrics import CONTENT_TYPE, Metric, exposition
 from ..serving import serve
 from .client_server import ClientServer
-from .endings import AnswerCut
+from .endings import ResponseAborted
 from .ingress import Ingress
 
 __all__ = ["ClientServer", "IngressApp", "readiness_app", "serve"]
 
 
 class _ClientConnection:
-    """Hands a request to the ingress as it came, around quart's own parsing, which would change it."""
+    """Passes a request to the ingress without quart's own parsing, which would change it."""
 
     def __init__(self, app: "IngressApp", scope):
         self.app, self.scope = app, scope
 
     async def __call__(self, receive, send) -> None:
-        with suppress(AnswerCut):  # hypercorn closes a connection whose answer has not ended
+        with suppress(ResponseAborted):  # hypercorn closes a connection whose response is incomplete
             await self.app.ingress.serve(self.scope, receive, send)
 
 
@@ -35,16 +35,16 @@
         self.ingress = ingress
 
 
-def readiness_app(ready: Callable[[], bool], metrics: Callable[[], list[Metric]]) -> Quart:
-    """Answers the platform whether clients should come here, and Prometheus."""
+def readiness_app(is_ready: Callable[[], bool], metrics: Callable[[], list[Metric]]) -> Quart:
+    """Serves the platform's readiness check, and the metrics to Prometheus."""
     app = Quart("molespur")
 
     @app.get("/api/metrics")
-    async def figures() -> Response:
+    async def serve_metrics() -> Response:
         return Response(exposition(metrics()), content_type=CONTENT_TYPE)
 
     @app.get("/api/readyz")
-    async def readiness() -> Response:
-        return Response("ready\n") if ready() else Response("not ready\n", 503)
+    async def serve_readiness() -> Response:
+        return Response("ready\n") if is_ready() else Response("not ready\n", 503)
 
     return app
--- a/molespur/system/data_plane/ingress.py
+++ b/molespur/system/data_plane/ingress.py
@@ -1,4 +1,4 @@
-"""Clients' requests: read, routed, sent to workers as the exchange says, and answered."""
+"""Serves clients' requests: reads and routes them, and has them carried out by a client call."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,27 +9,27 @@
 from ..settings.configuration import Route, Service
 from .client_call import ClientCall
 from .client_request import ClientRequest, demand_of, read_head
-from .endings import AnswerCut, EndReason
+from .endings import EndReason, ResponseAborted
 from .serving_context import ServingContext
 from .state import DataPlaneState
 from .upstream import Upstreams
 
-STATE_WAIT_MS = 800.0  # longest wait of a request for the first state from the feed, or for a fresh one
-STATE_WAIT_SHARE = 0.25  # and the part of its time that it may take
+MAX_STATE_WAIT_MS = 800.0  # of a request, for the first state or a fresh configuration from the feed
+MAX_STATE_WAIT_SHARE = 0.25  # of the time until the request's deadline
 
 
 class ConfigurationFreshness(Protocol):
-    """Tells how far the configuration in force can be relied on (`FeedFollower`)."""
+    """Whether the configuration in force is known to be recent (`FeedFollower`)."""
 
     def may_refuse(self) -> bool:
-        """Whether what it does not allow may be refused for good."""
+        """Whether a request that the configuration does not allow may be refused permanently."""
 
     async def wait_until_fresh(self, longest_s: float) -> None:
-        """Wait until that is so, or this long (s)."""
+        """Wait until `may_refuse`, at most `longest_s` seconds."""
 
 
 class Ingress(ServingContext):
-    """Serves clients' requests on top of the state and the connections to workers."""
+    """Serves clients' requests with the state and the connections to workers."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         self.open_requests = 0
 
     async def serve(self, scope, receive, send) -> None:
-        """One request (ASGI)."""
+        """Serve one request (ASGI)."""
         self.open_requests += 1
         try:
             await self._serve(scope, receive, send)
@@ -51,62 +51,64 @@
             self.open_requests -= 1
 
     async def _serve(self, scope, receive, send) -> None:
-        """One request to its end, whose reason is counted."""
+        """Serve one request and count the reason of its end."""
         reason = EndReason.INTERNAL_ERROR
-        came_at = self.clock()
+        received_at = self.clock()
         try:
             request = read_head(scope, self.state.limits)
             request.body = await self._read_body(receive, request.deadline_ms)
             await self._wait_for_state(request)
             route, service = await self._route(request)
-            demand = demand_of(request, route, service, came_at, route.priority == self.state.lowest_priority)
+            demand = demand_of(
+                request, route, service, received_at, route.priority == self.state.lowest_priority
+            )
             call = ClientCall(self, request, route, service, demand, send)
-            reason = await self._until_ended(call, receive)
+            reason = await self._run_until_ended(call, receive)
         except FleetError as error:
-            reason = EndReason.OWN_ANSWER
+            reason = EndReason.ERROR_RESPONSE
             await self.respond_with_error(send, self._refusal(error.kind))
-        except ClientGone:
-            reason = EndReason.CLIENT_GONE
-        except AnswerCut as cut:
-            reason = cut.reason
+        except ClientDisconnected:
+            reason = EndReason.CLIENT_DISCONNECTED
+        except ResponseAborted as aborted:
+            reason = aborted.reason
             raise
         except asyncio.CancelledError:
-            reason = EndReason.GRACE_OVER
+            reason = EndReason.GRACE_PERIOD_OVER
             raise
         finally:
             self.counts.ended[reason] += 1
 
-    async def _until_ended(self, call: ClientCall, receive) -> EndReason:
-        """Carry a request out until it is answered, its time is over or its client has gone."""
-        work = asyncio.current_task()
-        watch = asyncio.get_running_loop().create_task(receive())
-        watch.add_done_callback(lambda task: None if task.cancelled() else work.cancel())
+    async def _run_until_ended(self, call: ClientCall, receive) -> EndReason:
+        """Carry a request out until its response ends, its deadline has passed or its client disconnects."""
+        serving = asyncio.current_task()
+        disconnect = asyncio.get_running_loop().create_task(receive())
+        disconnect.add_done_callback(lambda task: None if task.cancelled() else serving.cancel())
         try:
             async with asyncio.timeout(max(call.demand.deadline_at - self.clock(), 0.0) / 1000.0):
                 return await call.run()
         except TimeoutError:
-            return await call.out_of_time()
+            return await call.end_at_deadline()
         except asyncio.CancelledError:
-            if not watch.done():
+            if not disconnect.done():
                 raise
-            return call.reason or EndReason.CLIENT_GONE
+            return call.end_reason or EndReason.CLIENT_DISCONNECTED
         finally:
-            watch.cancel()
+            disconnect.cancel()
 
     async def _read_body(self, receive, deadline_ms: float) -> bytes:
-        """The whole body.  It may take as long as a client may be silent, and no longer than its deadline."""
+        """Read the complete body, within the idle timeout of clients and the request's deadline."""
         limits = self.state.limits
-        limit = limits.max_body_bytes
+        max_bytes = limits.max_body_bytes
         chunks, size = [], 0
         try:
             async with asyncio.timeout(min(limits.idle_timeout_s, deadline_ms / 1000.0)):
                 while True:
                     message = await receive()
                     if message["type"] == "http.disconnect":
-                        raise ClientGone
+                        raise ClientDisconnected
                     chunk = message.get("body", b"")
                     size += len(chunk)
-                    if size > limit:
+                    if size > max_bytes:
                         raise FleetError(ErrorKind.BODY_TOO_LARGE)
                     chunks.append(chunk)
                     if not message.get("more_body", False):
@@ -115,45 +117,45 @@
             raise FleetError(ErrorKind.BODY_TOO_SLOW) from error
 
     async def _wait_for_state(self, request: ClientRequest) -> None:
-        """Just after a start: wait a moment for what the feed has to tell first."""
+        """Wait a moment for the first state from the feed, just after the start of the process."""
         if self.state.complete.is_set():
             return
         with suppress(TimeoutError):
-            async with asyncio.timeout(_longest_wait_s(request)):
+            async with asyncio.timeout(_max_wait_s(request)):
                 await self.state.complete.wait()
 
     async def _route(self, request: ClientRequest) -> tuple[Route, Service]:
-        route = self._find(request)
+        route = self._find_route(request)
         if route is None:
-            await self.freshness.wait_until_fresh(_longest_wait_s(request))
-            route = self._find(request)
+            await self.freshness.wait_until_fresh(_max_wait_s(request))
+            route = self._find_route(request)
         if route is None:
             raise FleetError(ErrorKind.NO_ROUTE)
         service = self.state.services[self.state.pick_service(route)]
-        self.state.budget(service.name).request(self.clock())
-        self.state.hedges(service.name).request()
+        self.state.budget(service.name).count_request(self.clock())
+        self.state.hedge_gate(service.name).count_request()
         return route, service
 
-    def _find(self, request: ClientRequest) -> Route | None:
+    def _find_route(self, request: ClientRequest) -> Route | None:
         if self.state.routes is None:
             raise FleetError(ErrorKind.NO_CONFIGURATION)
         return self.state.routes.find(request.host, request.path)
 
     def _refusal(self, kind: ErrorKind) -> ErrorKind:
-        """What to say in place of a refusal for good that an old configuration calls for.
+        """The error kind to respond with: no permanent refusal because of an old configuration.
 
-        A route that is not known here may have been added, and a limit raised, by a change that was
-        acknowledged longer ago than the promise of propagation.
+        A newer configuration that is not known here may have added the route or raised the limit, even longer
+        ago than changes are guaranteed to take to propagate.
         """
         if kind in REFUSED_BY_CONFIGURATION and not self.freshness.may_refuse():
             return ErrorKind.OLD_CONFIGURATION
         return kind
 
 
-def _longest_wait_s(request: ClientRequest) -> float:
-    """How long a request may wait for state that it needs, s."""
-    return min(STATE_WAIT_MS, STATE_WAIT_SHARE * request.deadline_ms) / 1000.0
+def _max_wait_s(request: ClientRequest) -> float:
+    """How long a request may wait for state that it needs."""
+    return min(MAX_STATE_WAIT_MS, MAX_STATE_WAIT_SHARE * request.deadline_ms) / 1000.0
 
 
-class ClientGone(Exception):
-    """The client has left."""
+class ClientDisconnected(Exception):
+    """The client has closed its connection."""
--- a/molespur/system/data_plane/load.py
+++ b/molespur/system/data_plane/load.py
@@ -1,36 +1,39 @@
-"""What a scheduler sends to the workers of one service, for the choice of their parts.  Pure."""
+"""Measures what a scheduler sends to the workers of one service; the control plane plans their phases by it.
+
+Pure.  Times are ms.
+"""
 
 from collections import deque
 from dataclasses import dataclass, field
 
 WINDOW_MS = 3000.0
-LEAST_SPAN_MS = 500.0
+MIN_SPAN_MS = 500.0
 
 
 @dataclass
 class LoadMeter:
-    """Prompt tokens to be read, lately, and answers under way."""
+    """Prompt tokens sent for prefill within the window, and open calls for responses."""
 
     running: int = 0
-    _reads: deque = field(default_factory=deque)
+    _prefills: deque = field(default_factory=deque)
     _tokens: float = 0.0
     _full: bool = False  # the window has been filled once
 
-    def read(self, now: float, tokens: float) -> None:
-        """A worker has been asked to read a prompt."""
-        self._reads.append((now, tokens))
+    def record_prefill(self, now: float, tokens: float) -> None:
+        """A worker has been sent a prompt of which it has to prefill so many tokens."""
+        self._prefills.append((now, tokens))
         self._tokens += tokens
-        self._drop(now)
+        self._drop_old(now)
 
-    def read_tokens_per_s(self, now: float) -> float:
-        """Tokens a second to be read, over the last few seconds."""
-        self._drop(now)
-        if not self._reads:
+    def prefill_tokens_per_s(self, now: float) -> float:
+        """Tokens per second sent for prefill, over the window."""
+        self._drop_old(now)
+        if not self._prefills:
             return 0.0
-        span = WINDOW_MS if self._full else max(now - self._reads[0][0], LEAST_SPAN_MS)
-        return self._tokens / min(span, WINDOW_MS) * 1000.0
+        span_ms = WINDOW_MS if self._full else max(now - self._prefills[0][0], MIN_SPAN_MS)
+        return self._tokens / min(span_ms, WINDOW_MS) * 1000.0
 
-    def _drop(self, now: float) -> None:
-        while self._reads and self._reads[0][0] < now - WINDOW_MS:
-            self._tokens -= self._reads.popleft()[1]
+    def _drop_old(self, now: float) -> None:
+        while self._prefills and self._prefills[0][0] < now - WINDOW_MS:
+            self._tokens -= self._prefills.popleft()[1]
             self._full = True
--- a/molespur/system/data_plane/pool.py
+++ b/molespur/system/data_plane/pool.py
@@ -1,8 +1,8 @@
-"""The connections to one worker: kept between calls, the one that rested least first.
+"""The pool of connections to one worker.  The connection that was idle for the shortest time is used first.
 
-A worker tells in `Keep-Alive` how long it keeps a resting connection.  One that has rested long may have been
-forgotten without a word, and what is sent on it is then reset, so a call that must not be repeated takes
-none that has rested longer than `LONGEST_REST_UNREPEATABLE_S`.
+A worker announces in `Keep-Alive` how long it keeps an idle connection.  A connection that was idle for long
+may have been dropped without a close, and a request on it is then reset.  So a call that must not be repeated
+uses none that was idle for longer than `MAX_IDLE_UNREPEATABLE_S`.
 """
 
 import asyncio
@@ -14,38 +14,38 @@
 from .network import WorkerNetwork
 
 CONNECT_TIMEOUT_S = 0.5
-DEFAULT_REST_S = 4.0  # kept this long where the worker says nothing
-LONGEST_REST_S = 20.0
-LONGEST_REST_UNREPEATABLE_S = 4.0
-REST_MARGIN_S = 0.5  # of what a worker says: bytes are on their way for a moment
-LEAST_REST_S = 0.2
+DEFAULT_IDLE_S = 4.0  # where the worker announces nothing
+MAX_IDLE_S = 20.0
+MAX_IDLE_UNREPEATABLE_S = 4.0
+IDLE_MARGIN_S = 0.5  # subtracted from what a worker announces, since bytes take a moment to arrive
+MIN_IDLE_S = 0.2
 KEEP_ALIVE = b"keep-alive"
 
 
 @dataclass(eq=False, slots=True)
 class PooledConnection:
-    """One connection, and since when and how long it may rest.  Times are seconds on the loop's clock."""
+    """One connection, and its idle time.  Times are seconds on the loop's clock."""
 
     connection: httpcore.AsyncHTTP11Connection
-    rest_s: float = DEFAULT_REST_S
-    rested_since: float = 0.0
+    max_idle_s: float = DEFAULT_IDLE_S
+    idle_since: float = 0.0
 
-    def clean(self) -> bool:
-        """Whether nothing is left of the call that has ended: no byte came after its answer.
+    def is_clean(self) -> bool:
+        """Whether nothing is left of the call that has ended: no byte came after its response.
 
-        Such bytes would be read as the answer to the next call.
+        Such bytes would be read as the response to the next call.
         """
-        unread, _closed = self.connection._h11_state.trailing_data  # httpcore offers no other way to ask
+        unread, _closed = self.connection._h11_state.trailing_data  # httpcore has no public way to read it
         return self.connection.is_idle() and not unread
 
-    def usable(self, now: float, longest_rest_s: float) -> bool:
-        """Whether a call may be sent on it after its rest."""
-        rested = now - self.rested_since
-        return rested <= min(self.rest_s, longest_rest_s) and not self.connection.has_expired()
+    def is_usable(self, now: float, max_idle_s: float) -> bool:
+        """Whether a call may be sent on it after its idle time."""
+        idle_s = now - self.idle_since
+        return idle_s <= min(self.max_idle_s, max_idle_s) and not self.connection.has_expired()
 
 
 class PooledStream:
-    """The body of an answer; its connection goes back to the pool once it is closed."""
+    """The body of a response; its connection goes back to the pool once it is closed."""
 
     def __init__(self, pool: "ConnectionPool", pooled: PooledConnection, stream):
         self._pool, self._pooled, self._stream = pool, pooled, stream
@@ -55,7 +55,7 @@
         return self._stream.__aiter__()
 
     async def aclose(self) -> None:
-        """End the answer, read whole or not."""
+        """End the response, whether it was read completely or not."""
         try:
             await self._stream.aclose()
         finally:
@@ -63,58 +63,58 @@
 
 
 class ConnectionPool:
-    """At most `limit` connections to one address, those that are being opened counted."""
+    """At most `limit` connections to one address, including those that are being opened."""
 
     def __init__(self, host: bytes, port: int, limit: int):
         self._origin = httpcore.Origin(b"http", host, port)
         self._network = WorkerNetwork()
         self.limit = limit
         self.open = 0
-        self.opened = 0  # so far
-        self._resting: list[PooledConnection] = []  # the one that has rested least is last
+        self.total_opened = 0
+        self._idle: list[PooledConnection] = []  # the one that became idle last is the last
         self._waiting: deque[asyncio.Future] = deque()
         self._closing: set[asyncio.Task] = set()
 
     async def call(self, request: httpcore.Request, repeatable: bool) -> httpcore.Response:
-        """Send a request and wait for the head of its answer.  Raises httpcore's errors.
+        """Send a request and wait for the head of its response.  Raises httpcore's errors.
 
         `ConnectError`, `ConnectTimeout` and `PoolTimeout` mean that nothing was sent.
         """
-        pooled = await self._acquire(LONGEST_REST_S if repeatable else LONGEST_REST_UNREPEATABLE_S)
+        pooled = await self._acquire(MAX_IDLE_S if repeatable else MAX_IDLE_UNREPEATABLE_S)
         try:
             response = await pooled.connection.handle_async_request(request)
         except BaseException:
             self.release(pooled)
             raise
-        pooled.rest_s = rest_of(response.headers)
+        pooled.max_idle_s = max_idle_after(response.headers)
         response.stream = PooledStream(self, pooled, response.stream)
         return response
 
     def release(self, pooled: PooledConnection) -> None:
-        """A call on a connection is over: keep the connection if it can be used again."""
-        if pooled.clean():
-            pooled.rested_since = self._now()
-            self._resting.append(pooled)
+        """Return a connection after its call: keep it if it can be used again, else close it."""
+        if pooled.is_clean():
+            pooled.idle_since = self._now()
+            self._idle.append(pooled)
             self._wake_one()
         else:
             self._close(pooled)  # a call that was cancelled twice has not closed it
 
-    def trim(self) -> None:
-        """Close what has rested too long."""
+    def close_expired(self) -> None:
+        """Close the connections that have been idle for too long."""
         now = self._now()
         kept = []
-        for pooled in self._resting:
-            if pooled.usable(now, LONGEST_REST_S):
+        for pooled in self._idle:
+            if pooled.is_usable(now, MAX_IDLE_S):
                 kept.append(pooled)
             else:
                 self._close(pooled)
-        self._resting = kept
+        self._idle = kept
 
     async def aclose(self) -> None:
-        """Close all connections that rest; those in use are closed as they come back."""
-        for pooled in self._resting:
+        """Close all idle connections; those in use are closed when they are released."""
+        for pooled in self._idle:
             self._close(pooled)
-        self._resting = []
+        self._idle = []
         if self._closing:
             await asyncio.wait(self._closing)
 
@@ -124,24 +124,24 @@
     def _now() -> float:
         return asyncio.get_running_loop().time()
 
-    async def _acquire(self, longest_rest_s: float) -> PooledConnection:
-        until = self._now() + CONNECT_TIMEOUT_S
+    async def _acquire(self, max_idle_s: float) -> PooledConnection:
+        deadline = self._now() + CONNECT_TIMEOUT_S
         while True:
-            pooled = self._take_resting(longest_rest_s)
+            pooled = self._take_idle(max_idle_s)
             if pooled is not None:
                 return pooled
             if self.open < self.limit:
                 return await self._connect()
-            await self._wait(until)
+            await self._wait(deadline)
 
-    def _take_resting(self, longest_rest_s: float) -> PooledConnection | None:
+    def _take_idle(self, max_idle_s: float) -> PooledConnection | None:
         now = self._now()
-        while self._resting:
-            pooled = self._resting.pop()
-            if pooled.usable(now, longest_rest_s):
+        while self._idle:
+            pooled = self._idle.pop()
+            if pooled.is_usable(now, max_idle_s):
                 return pooled
-            if pooled.usable(now, LONGEST_REST_S) and self.open < self.limit:
-                self._resting.append(pooled)  # good for other calls; all others have rested longer
+            if pooled.is_usable(now, MAX_IDLE_S) and self.open < self.limit:
+                self._idle.append(pooled)  # usable by other calls; all others have been idle for longer
                 return None
             self._close(pooled)
         return None
@@ -150,7 +150,7 @@
         self.open += 1
         try:
             host, port = self._origin.host.decode("ascii"), self._origin.port
-            self.opened += 1
+            self.total_opened += 1
             stream = await self._network.connect_tcp(host, port, timeout=CONNECT_TIMEOUT_S)
         except BaseException:
             self.open -= 1
@@ -158,18 +158,18 @@
             raise
         return PooledConnection(httpcore.AsyncHTTP11Connection(origin=self._origin, stream=stream))
 
-    async def _wait(self, until: float) -> None:
-        """Wait for a connection to come free.  Raises httpcore.PoolTimeout."""
+    async def _wait(self, deadline: float) -> None:
+        """Wait until a connection is free.  Raises httpcore.PoolTimeout."""
         waiter = asyncio.get_running_loop().create_future()
         self._waiting.append(waiter)
         try:
-            async with asyncio.timeout(max(until - self._now(), 0.0)):
+            async with asyncio.timeout(max(deadline - self._now(), 0.0)):
                 await waiter
         except TimeoutError as error:
             raise httpcore.PoolTimeout from error
         except asyncio.CancelledError:
             if waiter.done() and not waiter.cancelled():
-                self._wake_one()  # it was woken and can't use what came free
+                self._wake_one()  # it was woken but can't use the free connection
             raise
         finally:
             if waiter in self._waiting:
@@ -191,13 +191,13 @@
         self._wake_one()
 
 
-def rest_of(headers: list[tuple[bytes, bytes]]) -> float:
-    """How long (s) a connection may rest after an answer with these headers."""
+def max_idle_after(headers: list[tuple[bytes, bytes]]) -> float:
+    """How long (s) a connection may be idle after a response with these headers."""
     for name, value in headers:
         if name.lower() != KEEP_ALIVE:
             continue
         for item in value.split(b","):
             key, _, number = item.strip().partition(b"=")
             if key.lower() == b"timeout" and number.isdigit():
-                return min(max(int(number) - REST_MARGIN_S, LEAST_REST_S), LONGEST_REST_S)
-    return DEFAULT_REST_S
+                return min(max(int(number) - IDLE_MARGIN_S, MIN_IDLE_S), MAX_IDLE_S)
+    return DEFAULT_IDLE_S
--- a/molespur/system/data_plane/reports.py
+++ b/molespur/system/data_plane/reports.py
@@ -1,4 +1,4 @@
-"""Asks model workers for their load, each in turn."""
+"""Polls the model workers for their load reports, one worker after the other."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,12 +9,13 @@
 from .upstream import UpstreamError, Upstreams
 
 INTERVAL_S = 4.0  # between two reports of one worker
-PEERS_INTERVAL_S = 60.0  # the same where other schedulers tell their work, which is newer; reports are priced
+# the same while other schedulers announce their work, which is newer than reports; each report is charged for
+PEERS_INTERVAL_S = 60.0
 TIMEOUT_S = 0.6
 
 
 class ReportPoller:
-    """Keeps the reports of all model workers up to date."""
+    """Keeps the load reports of all model workers up to date."""
 
     def __init__(
         self, state: DataPlaneState, upstreams: Upstreams, clock: Callable[[], float], random: Random
@@ -32,24 +33,24 @@
                 if track.usable
             ]
             if targets:
-                service, track = min(targets, key=lambda target: target[1].report.at)
-                await self._ask(service, track)
-            told = targets and targets[0][1].peer_scale > 0
-            interval = PEERS_INTERVAL_S if told else INTERVAL_S
-            await asyncio.sleep(interval / max(len(targets), 1) * (0.8 + 0.4 * self.random.random()))
-
-    async def _ask(self, service, track) -> None:
-        track.report.at = self.clock()  # one that does not answer waits for its next turn like the others
+                service, track = min(targets, key=lambda target: target[1].report.updated_at)
+                await self._poll(service, track)
+            peers_announce = targets and targets[0][1].peer_scale > 0
+            interval_s = PEERS_INTERVAL_S if peers_announce else INTERVAL_S
+            await asyncio.sleep(interval_s / max(len(targets), 1) * (0.8 + 0.4 * self.random.random()))
+
+    async def _poll(self, service, track) -> None:
+        track.report.updated_at = self.clock()  # also a worker that does not reply is polled next in its turn
         with suppress(UpstreamError, TimeoutError, ValueError):
             async with asyncio.timeout(TIMEOUT_S):
                 headers = [(b"Host", track.address.encode())]
-                connections = self.state.connections(service)
+                max_connections = self.state.max_connections(service)
                 response = await self.upstreams.call(
-                    track.address, "GET", b"/api/report", headers, b"", connections
+                    track.address, "GET", b"/api/report", headers, b"", max_connections
                 )
                 try:
                     body = await response.read()
                 finally:
                     await response.close()
                 if response.head.status == 200:
-                    self.state.take_report(track, self.clock(), body)
+                    self.state.update_report(track, self.clock(), body)
--- a/molespur/system/data_plane/request_counts.py
+++ b/molespur/system/data_plane/request_counts.py
@@ -1,20 +1,20 @@
-"""Counts of what has become of requests and of calls to workers since the start."""
+"""Counts the outcomes of requests and of calls to workers since the start of the process."""
 
 from collections import Counter
 from dataclasses import dataclass, field
 
 from .endings import EndReason
 
-WORKER = "worker"  # the source of an answer that a worker has given
+WORKER = "worker"  # the source of a response that comes from a worker
 
 
 @dataclass(slots=True)
 class RequestCounts:
-    """Answers by (status, source), the source a worker or an error kind; calls by (part, outcome).
+    """Responses by (status, source); calls by (phase, outcome).  A source is "worker" or an error kind.
 
-    `ended`: requests by what has ended their answers; each ends once.
+    `ended`: requests by what has ended their responses; each ends once.
     """
 
-    answers: Counter[tuple[str, str]] = field(default_factory=Counter)
+    responses: Counter[tuple[str, str]] = field(default_factory=Counter)
     calls: Counter[tuple[str, str]] = field(default_factory=Counter)
     ended: Counter[EndReason] = field(default_factory=Counter)
--- a/molespur/system/data_plane/role.py
+++ b/molespur/system/data_plane/role.py
@@ -1,4 +1,4 @@
-"""The data-plane role: one scheduler, which follows the feed and serves clients."""
+"""The data-plane role: one scheduler, which follows the feed of the control plane and serves clients."""
 
 import asyncio
 import time
@@ -17,18 +17,18 @@
 from .state import DataPlaneState
 from .upstream import Upstreams
 
-LEAVE_S = 2.4  # the platform takes a scheduler out after two missed looks, a second apart
-MARGIN_S = 0.8  # of the grace period
-HOUSEKEEPING_S = 0.5
+LEAVE_S = 2.4  # the platform removes a scheduler after two failed readiness checks, a second apart
+GRACE_MARGIN_S = 0.8  # left of the grace period when open requests are aborted
+HOUSEKEEPING_INTERVAL_S = 0.5
 
 
 def clock() -> float:
-    """Milliseconds on the steady clock."""
+    """Milliseconds on the monotonic clock."""
     return time.monotonic() * 1000.0
 
 
 class DataPlane:
-    """One data-plane process put together from its parts."""
+    """The components of one data-plane process."""
 
     def __init__(self, settings: ProcessSettings):
         self.settings = settings
@@ -44,52 +44,54 @@
         self.follower.configuration_version = self.state.configuration_version
         self.stopping = False
 
-    def ready(self) -> bool:
-        """Whether clients should come here."""
+    def is_ready(self) -> bool:
+        """Whether clients should send requests here."""
         return not self.stopping and self.state.configuration is not None
 
     def metrics(self) -> list[Metric]:
-        """All figures as they are now."""
+        """All metrics with their current values."""
         ingress = self.ingress
         return metrics(
             self.state, ingress.counts, self.upstreams, self.follower, lambda: ingress.open_requests
         )
 
     async def run(self) -> None:
-        """Serve until told to stop, and then until what was taken is answered."""
+        """Serve until a signal to stop, and then until all open requests have ended."""
         stop = wait_for_stop()
         closing, ended = asyncio.Event(), asyncio.Event()
         loop = asyncio.get_running_loop()
-        watch = SettingsWatch(self.follower.reseed)
-        repeated = (
+        settings_watch = SettingsWatch(self.follower.reseed)
+        background = (
             self.follower.run(),
             self.reports.run(),
             self.peers.run(),
             self._housekeeping(),
-            watch.run(),
+            settings_watch.run(),
         )
         self._http = loop.create_task(imported("molespur.system.data_plane.http"))
-        grace = max(self.settings.bounds.grace_period_s - LEAVE_S - MARGIN_S, 1.0)
-        ingress = loop.create_task(self._serve_clients(closing, grace))
+        grace_s = max(self.settings.bounds.grace_period_s - LEAVE_S - GRACE_MARGIN_S, 1.0)
+        ingress = loop.create_task(self._serve_clients(closing, grace_s))
         readiness = loop.create_task(self._serve_readiness(ended))
         leaving = loop.create_task(self._leave(stop, closing, ended, ingress, readiness))
-        await until_stop(ended, *repeated, unexpected_end(ingress, closing), unexpected_end(readiness, ended))
+        await until_stop(
+            ended, *background, unexpected_end(ingress, closing), unexpected_end(readiness, ended)
+        )
         await leaving
 
     async def _serve_clients(self, closing: asyncio.Event, grace_s: float) -> None:
         http = await self._http
-        logging.info("data plane %s", self.settings.node_name)
+        logging.info("data plane %s is starting", self.settings.node_name)
         app = http.IngressApp(self.ingress)
         server = http.ClientServer(app, lambda: self.state.limits)
         await server.serve(self.settings.listen["Frontend"], closing, grace_s)
 
     async def _serve_readiness(self, ended: asyncio.Event) -> None:
         http = await self._http
-        app = http.readiness_app(self.ready, self.metrics)
+        app = http.readiness_app(self.is_ready, self.metrics)
         await http.serve(app, self.settings.listen["Readiness"], ended)
 
     async def _leave(self, stop, closing, ended, ingress, readiness) -> None:
-        """Wait to be told to stop, then serve on until the platform sends nobody any more."""
+        """Wait for a signal to stop, then serve on until the platform sends no more clients here."""
         await stop.wait()
         logging.info("stopping with %d open requests", self.ingress.open_requests)
         self.stopping = self.ingress.stopping = True
@@ -102,9 +104,9 @@
 
     async def _housekeeping(self) -> None:
         while True:
-            await asyncio.sleep(HOUSEKEEPING_S)
-            self.state.count_schedulers(clock(), self.follower.schedulers)
-            self.upstreams.trim()
-            gone, self.state.gone = self.state.gone, []
-            for address in gone:
-                await self.upstreams.forget(address)
+            await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
+            self.state.set_scheduler_count(clock(), self.follower.schedulers)
+            self.upstreams.close_expired()
+            removed, self.state.removed_addresses = self.state.removed_addresses, []
+            for address in removed:
+                await self.upstreams.remove(address)
--- a/molespur/system/data_plane/serving_context.py
+++ b/molespur/system/data_plane/serving_context.py
@@ -1,4 +1,4 @@
-"""What all requests at one scheduler share: state, connections, counts, own answers, freed memory."""
+"""What all requests at one scheduler share: state, connections, counts, error responses, freed handles."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 from .state import DataPlaneState
 from .upstream import UpstreamError, Upstreams
 
-HANDLE_FREE_S = 1.0
+FREE_HANDLE_TIMEOUT_S = 1.0
 
 
 class ServingContext:
@@ -20,14 +20,14 @@
     def __init__(self, state: DataPlaneState, upstreams: Upstreams, clock: Callable[[], float]):
         self.state, self.upstreams, self.clock = state, upstreams, clock
         self.stopping = False
-        self.keys = count()  # of calls to workers
+        self.call_keys = count()  # keys of the calls to workers
         self.counts = RequestCounts()
         self._background: set[asyncio.Task] = set()
 
     async def respond_with_error(self, send, kind: ErrorKind) -> None:
-        """Answer by ourselves."""
+        """Send the error response of this kind."""
         answer = ANSWERS[kind]
-        self.counts.answers[str(answer.status), kind.value] += 1
+        self.counts.responses[str(answer.status), kind.value] += 1
         headers = [(b"content-length", b"0")]
         if answer.retry_after_s is not None:
             headers.append((b"retry-after", f"{answer.retry_after_s:.3f}".encode()))
@@ -37,7 +37,7 @@
         await send({"type": "http.response.body", "body": b"", "more_body": False})
 
     def free_handle(self, address: str, handle: str, service: Service) -> None:
-        """Give memory back that nobody will take."""
+        """Free a KV cache that no worker will take, in the background."""
         task = asyncio.get_running_loop().create_task(self._free_handle(address, handle, service))
         self._background.add(task)
         task.add_done_callback(self._background.discard)
@@ -45,14 +45,14 @@
     async def _free_handle(self, address: str, handle: str, service: Service) -> None:
         target = f"/api/kv-handle/{handle}".encode()
         with suppress(UpstreamError, TimeoutError):
-            async with asyncio.timeout(HANDLE_FREE_S):
+            async with asyncio.timeout(FREE_HANDLE_TIMEOUT_S):
                 response = await self.upstreams.call(
                     address,
                     "DELETE",
                     target,
                     [(b"Host", address.encode())],
                     b"",
-                    self.state.connections(service),
+                    self.state.max_connections(service),
                 )
                 try:
                     await response.read()
--- a/molespur/system/data_plane/silence.py
+++ b/molespur/system/data_plane/silence.py
@@ -1,7 +1,7 @@
-"""Tells when a call to a worker has been silent for a while.  What that means is decided elsewhere.
+"""Detects that a call to a worker has been silent for a while; what follows is decided by the exchange.
 
-Silence ends nothing: the timer fires again and again for as long as the call is open, so that a second
-attempt that was refused once may be allowed later.
+Silence ends nothing.  The timer fires repeatedly while the call is open, so that a hedge that was refused
+once may be allowed later.
 """
 
 import asyncio
@@ -9,42 +9,42 @@
 
 
 class SilenceTimer:
-    """Calls `on_silent` each time that a call was silent for its age (s) once more."""
+    """Calls `on_silent` each time that the call has been silent for another `age_s` seconds."""
 
     def __init__(self, age_s: float, on_silent: Callable[[], None]):
         self._loop = asyncio.get_running_loop()
         self._age_s, self._on_silent = age_s, on_silent
-        self._quiet_since = self._loop.time()
-        self._held = False
-        self._timer = self._loop.call_later(age_s, self._look)
+        self._silent_since = self._loop.time()
+        self._paused = False
+        self._timer = self._loop.call_later(age_s, self._check)
 
-    def heard(self, age_s: float) -> None:
-        """The worker has answered, or goes on to: from now on a pause this long (s) is silence."""
-        self._quiet_since = self._loop.time()
+    def restart(self, age_s: float) -> None:
+        """Bytes have come from the worker: from now on it counts as silent after `age_s`."""
+        self._silent_since = self._loop.time()
         if age_s != self._age_s:
             self._age_s = age_s
             self._timer.cancel()
-            self._timer = self._loop.call_later(age_s, self._look)
+            self._timer = self._loop.call_later(age_s, self._check)
 
-    def hold(self) -> None:
-        """The client is written to: that the worker is not read from meanwhile is not its silence."""
-        self._held = True
+    def pause(self) -> None:
+        """Count no silence while the client is being written to and the worker is not read from."""
+        self._paused = True
 
-    def release(self) -> None:
+    def resume(self) -> None:
         """The worker is read from again."""
-        self._held = False
-        self._quiet_since = self._loop.time()
+        self._paused = False
+        self._silent_since = self._loop.time()
 
     def stop(self) -> None:
-        """The call is over."""
+        """The call has ended."""
         self._timer.cancel()
 
-    def _look(self) -> None:
-        left = self._quiet_since + self._age_s - self._loop.time()
-        if self._held:
+    def _check(self) -> None:
+        left = self._silent_since + self._age_s - self._loop.time()
+        if self._paused:
             left = self._age_s
         elif left <= 0:
-            self._quiet_since = self._loop.time()
+            self._silent_since = self._loop.time()
             self._on_silent()
             left = self._age_s
-        self._timer = self._loop.call_later(left, self._look)
+        self._timer = self._loop.call_later(left, self._check)
--- a/molespur/system/data_plane/state.py
+++ b/molespur/system/data_plane/state.py
@@ -1,4 +1,4 @@
-"""What a data-plane process knows: the configuration in force, the workers, its part of the budgets."""
+"""The state of a data-plane process: the configuration in force, the workers, its share of the budgets."""
 
 import asyncio
 import json
@@ -7,7 +7,7 @@
 from absl import logging
 
 from ...policy.pair import PairPolicy
-from ...policy.tracking import Report, WorkerTrack
+from ...policy.tracking import LoadReport, WorkerTrack
 from ..errors import FleetError
 from ..rpc import molespur_pb2 as pb
 from ..settings import configuration
@@ -20,15 +20,15 @@
 from .peer_work import PeerWorkTable, worker_hash
 from .routes import RouteTable
 
-CONNECTION_SHARE = 0.9  # part of a worker's connections that all schedulers together may use
-LEAST_CONNECTIONS = 2
-ASSUMED_SCHEDULERS = 32  # while the control plane has not told how many there are
+CONNECTION_SHARE = 0.9  # share of a worker's connections that all schedulers together may use
+MIN_CONNECTIONS = 2
+ASSUMED_SCHEDULERS = 32  # until the control plane has announced their number
 GOLDEN_RATIO = 0.6180339887498949
-CACHE_SHARE = 0.6  # part of a worker's memory that prompts lately sent there are expected to keep
+CACHE_SHARE = 0.6  # share of a worker's KV cache that recently sent prompts are expected to occupy
 
 
 class DataPlaneState:
-    """Everything that requests are decided on.  Fed by the feed, read by the ingress."""
+    """Everything that decisions on requests depend on.  The feed writes it, the ingress reads it."""
 
     def __init__(self, settings: ProcessSettings, random: Random):
         self.settings, self.random = settings, random
@@ -38,17 +38,17 @@
         self.services: dict[str, Service] = {}
         self.lowest_priority = 0
         self.workers: dict[str, dict[str, WorkerTrack]] = {}  # service -> id -> worker
-        self.groups: dict[str, set[str]] = {}  # group -> worker ids told by it
+        self.groups: dict[str, set[str]] = {}  # group -> ids of the workers that it has announced
         self.service_of: dict[str, str] = {}
         self.budgets: dict[str, RetryBudget] = {}
         self.meters: dict[str, LoadMeter] = {}
         self.hedge_gates: dict[str, HedgeGate] = {}
-        self.schedulers = 0
-        self.complete = asyncio.Event()  # a configuration and a first snapshot of every shard have come
+        self.schedulers = 0  # the highest number that the control plane has announced
+        self.complete = asyncio.Event()  # a configuration and a first snapshot of every shard are here
         self.by_hash: dict[int, WorkerTrack] = {}
         self.peer_work = PeerWorkTable(settings.node_name, self.by_hash)
-        self.split_positions: dict[str, float] = {}  # route -> where in the sum of its weights the next falls
-        self.gone: list[str] = []  # addresses whose connections can be closed
+        self.split_positions: dict[str, float] = {}  # route -> next position within the sum of its weights
+        self.removed_addresses: list[str] = []  # of workers whose connections can be closed
 
     def configuration_version(self) -> int:
         """The version in force; 0 before the first."""
@@ -57,7 +57,7 @@
     # -- The feed ------------------------------------------------------------------------------
 
     def update(self, group: str, snapshot: bool, payload: bytes) -> None:
-        """Take one step of the feed."""
+        """Apply one update of the feed."""
         self.groups.setdefault(group, set())
         if group == CONFIGURATION:
             self._put_configuration(pb.ConfigurationState.FromString(payload))
@@ -69,8 +69,8 @@
     def _put_workers(self, group: str, snapshot: bool, payload: bytes) -> None:
         workers = pb.WorkerSet.FromString(payload).workers
         if snapshot:
-            told = {worker.id for worker in workers}
-            for worker_id in self.groups[group] - told:
+            announced = {worker.id for worker in workers}
+            for worker_id in self.groups[group] - announced:
                 self._remove(group, worker_id)
         for worker in workers:
             if worker.state == pb.GONE:
@@ -84,7 +84,7 @@
         try:
             parsed = configuration.parse(state.body)
         except FleetError as error:
-            logging.error("configuration %d can't be used: %s", state.version, error)
+            logging.error("rejected configuration %d: %s", state.version, error)
             return
         self.configuration = parsed
         self.routes = RouteTable(parsed)
@@ -92,7 +92,7 @@
         self.lowest_priority = max((route.priority for route in parsed.routes), default=0)
         for name in self.services:
             self._set_capacity(name)
-        logging.info("configuration %d in force: %d routes", parsed.version, len(parsed.routes))
+        logging.info("configuration %d is in force with %d routes", parsed.version, len(parsed.routes))
 
     def _put_worker(self, group: str, worker: pb.Worker) -> None:
         self.groups[group].add(worker.id)
@@ -115,7 +115,7 @@
         if track is not None:
             track.usable = False
             self.by_hash.pop(worker_hash(worker_id), None)
-            self.gone.append(track.address)
+            self.removed_addresses.append(track.address)
 
     def _set_capacity(self, service: str) -> None:
         shape = self.services.get(service)
@@ -123,24 +123,24 @@
         for track in self.workers.get(service, {}).values():
             track.capacity_tokens = CACHE_SHARE * engine.kv_capacity_tokens if engine else 0.0
 
-    # -- What requests ask ---------------------------------------------------------------------
+    # -- Queries of requests ---------------------------------------------------------------------
 
     @property
     def limits(self) -> Limits:
-        """What clients may send."""
+        """The limits on what clients may send."""
         return self.configuration.limits if self.configuration else Limits()
 
     def usable_workers(self, service: str) -> list[WorkerTrack]:
         """The workers of a service that the control plane lists."""
         return list(self.workers.get(service, {}).values())
 
-    def connections(self, service: Service) -> int:
+    def max_connections(self, service: Service) -> int:
         """How many connections this scheduler may have to one worker."""
         schedulers = self.schedulers or ASSUMED_SCHEDULERS
-        return max(int(CONNECTION_SHARE * service.max_connections / schedulers), LEAST_CONNECTIONS)
+        return max(int(CONNECTION_SHARE * service.max_connections / schedulers), MIN_CONNECTIONS)
 
     def budget(self, service: str) -> RetryBudget:
-        """This scheduler's part of a service's retry budget."""
+        """This scheduler's share of a service's retry budget."""
         budget = self.budgets.get(service)
         if budget is None:
             bounds = self.settings.bounds
@@ -149,47 +149,47 @@
             )
         return budget
 
-    def hedges(self, service: str) -> HedgeGate:
-        """What this scheduler may begin beside silent attempts at a service."""
+    def hedge_gate(self, service: str) -> HedgeGate:
+        """The limit on this scheduler's hedges for a service."""
         gate = self.hedge_gates.get(service)
         if gate is None:
             gate = self.hedge_gates[service] = HedgeGate(lambda: self.usable_workers(service))
         return gate
 
     def meter(self, service: str) -> LoadMeter:
-        """What this scheduler sends to a service."""
+        """The meter of what this scheduler sends to a service."""
         return self.meters.setdefault(service, LoadMeter())
 
     def loads(self, now: float) -> list[pb.ServiceLoad]:
-        """What this scheduler sends to the services with model workers."""
+        """The load that this scheduler causes at each service with model workers."""
         return [
             pb.ServiceLoad(
                 service=service.name,
-                read_tokens_per_s=self.meter(service.name).read_tokens_per_s(now),
+                read_tokens_per_s=self.meter(service.name).prefill_tokens_per_s(now),
                 running=self.meter(service.name).running,
             )
             for service in self.services.values()
             if service.engine is not None
         ]
 
-    def count_schedulers(self, now: float, count: int) -> None:
-        """The control plane knows of this many schedulers."""
+    def set_scheduler_count(self, now: float, count: int) -> None:
+        """The control plane has announced this many schedulers; 0: it has announced no number."""
         self.schedulers = max(count, self.schedulers) if count else self.schedulers
         for service in self.services:
-            self.budget(service).schedulers(now, count)
+            self.budget(service).set_scheduler_count(now, count)
 
     def pick_service(self, route) -> str:
-        """One of the route's services, by its weights.
+        """Pick one of the route's services by their weights.
 
-        Positions that advance by the golden ratio fall evenly: the shares of a few dozen requests are right,
-        where those of as many draws would be off by a tenth.
+        Positions that advance by the golden ratio are evenly spread: the shares are right after a few dozen
+        requests, while random draws would be off by a tenth.
         """
         targets = route.targets()
         if len(targets) == 1:
             return targets[0].service
-        share = self.split_positions.get(route.name, self.random.random())
-        self.split_positions[route.name] = (share + GOLDEN_RATIO) % 1.0
-        left = share * sum(target.weight for target in targets)
+        position = self.split_positions.get(route.name, self.random.random())
+        self.split_positions[route.name] = (position + GOLDEN_RATIO) % 1.0
+        left = position * sum(target.weight for target in targets)
         for target in targets:
             left -= target.weight
             if left < 0:
@@ -197,14 +197,14 @@
         return next(target.service for target in reversed(targets) if target.weight > 0)
 
     @staticmethod
-    def take_report(track: WorkerTrack, now: float, body: bytes) -> None:
-        """A worker's own word on its load.  Raises ValueError for one that can't be read."""
+    def update_report(track: WorkerTrack, now: float, body: bytes) -> None:
+        """Store a worker's load report.  Raises ValueError for one that can't be parsed."""
         raw = json.loads(body)
         if not isinstance(raw, dict):
-            raise ValueError("not an object")
+            raise ValueError("load report is not a JSON object")
         numbers = [raw.get(key, 0) for key in ("Active", "Queued", "KvUsed", "KvTotal")]
         if not all(isinstance(number, int | float) and number >= 0 for number in numbers):
-            raise ValueError("not numbers")
-        track.report = Report(now, *numbers)
+            raise ValueError("load report has a field that is not a number of 0 or more")
+        track.report = LoadReport(now, *numbers)
         if raw.get("Phase") in ("prefill", "decode"):
             track.phase = raw["Phase"]
--- a/molespur/system/data_plane/upstream.py
+++ b/molespur/system/data_plane/upstream.py
@@ -1,6 +1,6 @@
-"""Calls to workers by httpx: a transport for each worker, raw bytes both ways, no retries of its own.
+"""Calls to workers through httpx: a transport for each worker, raw bytes both ways, no automatic retries.
 
-A call fails with `UpstreamError`, which says how far it came.
+A call fails with `UpstreamError`, which has how far the call came.
 """
 
 from collections.abc import AsyncIterator
@@ -13,7 +13,7 @@
 from .exchange_messages import Failure
 from .pool import ConnectionPool
 
-READ_LIMIT = 8 << 20
+MAX_BODY_BYTES = 8 << 20
 NOT_SENT_ERRORS = (httpcore.ConnectError, httpcore.ConnectTimeout, httpcore.PoolTimeout)
 BROKEN_ERRORS = (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError)
 
@@ -24,7 +24,7 @@
 
 
 class UpstreamError(Exception):
-    """A call has failed; `failure` says how far it came."""
+    """A call has failed; `failure` is how far it came."""
 
     def __init__(self, failure: Failure, detail: str):
         super().__init__(f"{failure.value}: {detail}")
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class Head:
-    """Status and headers of a worker's answer; names are in lower case."""
+    """Status and headers of a worker's response; header names are in lower case."""
 
     status: int
     headers: list[tuple[bytes, bytes]]
@@ -44,25 +44,25 @@
 
 
 class WorkerTransport(httpx.AsyncBaseTransport):
-    """httpx's transport to one worker, on connections of our own; it repeats nothing."""
+    """httpx's transport to one worker, on this package's connection pool; it repeats nothing."""
 
-    def __init__(self, url: httpx.URL, connections: int):
+    def __init__(self, url: httpx.URL, max_connections: int):
         self.url = url
-        self.pool = ConnectionPool(url.raw_host, url.port, connections)
+        self.pool = ConnectionPool(url.raw_host, url.port, max_connections)
         self._target = httpcore.URL(scheme=url.raw_scheme, host=url.raw_host, port=url.port, target=b"/")
 
     async def handle_async_request(self, request: httpx.Request) -> httpx.Response:
-        """Send a request and wait for the head of its answer.  Raises httpcore's errors."""
-        sent = httpcore.Request(
+        """Send a request and wait for the head of its response.  Raises httpcore's errors."""
+        pool_request = httpcore.Request(
             method=request.method,
             url=self._target,
             headers=request.headers.raw,
             content=request.stream,
             extensions=request.extensions,
         )
-        answer = await self.pool.call(sent, request.extensions["repeatable"])
-        stream = PoolStream(answer.stream)
-        return httpx.Response(status_code=answer.status, headers=answer.headers, stream=stream)
+        response = await self.pool.call(pool_request, request.extensions["repeatable"])
+        stream = PoolStream(response.stream)
+        return httpx.Response(status_code=response.status, headers=response.headers, stream=stream)
 
     async def aclose(self) -> None:
         """Close all connections."""
@@ -70,7 +70,7 @@
 
 
 class PoolStream(httpx.AsyncByteStream):
-    """The body of an answer on its way from the pool."""
+    """The body of a response from the pool, as httpx needs it."""
 
     def __init__(self, stream):
         self._stream = stream
@@ -80,12 +80,12 @@
         return self._stream.__aiter__()
 
     async def aclose(self) -> None:
-        """Give the connection back to the pool."""
+        """Return the connection to the pool."""
         await self._stream.aclose()
 
 
 class UpstreamResponse:
-    """An answer whose body is still to come."""
+    """A response whose body is yet to be read."""
 
     def __init__(self, response: httpx.Response):
         self._response = response
@@ -100,16 +100,16 @@
             raise UpstreamError(Failure.MAY_HAVE_RUN, repr(error)) from error
 
     async def read(self) -> bytes:
-        """The whole body.  Raises UpstreamError when it breaks off or is too large."""
+        """The complete body.  Raises UpstreamError when it breaks off or is too large."""
         body = bytearray()
         async for chunk in self.chunks():
             body += chunk
-            if len(body) > READ_LIMIT:
-                raise UpstreamError(Failure.MAY_HAVE_RUN, "the answer is too large")
+            if len(body) > MAX_BODY_BYTES:
+                raise UpstreamError(Failure.MAY_HAVE_RUN, "response body is too large")
         return bytes(body)
 
     async def close(self) -> None:
-        """Give the connection back, or close it where the answer was not read to its end."""
+        """Return the connection to the pool, or close it if the response was not read to its end."""
         await self._response.aclose()
 
 
@@ -118,19 +118,19 @@
 
     def __init__(self):
         self._transports: dict[str, WorkerTransport] = {}
-        self._opened_to_forgotten = 0
+        self._opened_to_removed = 0
 
     @property
-    def opened(self) -> int:
-        """How many connections were opened so far, or tried to."""
-        return self._opened_to_forgotten + sum(t.pool.opened for t in self._transports.values())
+    def total_opened(self) -> int:
+        """How many connections were opened since the start, including failed tries."""
+        return self._opened_to_removed + sum(t.pool.total_opened for t in self._transports.values())
 
-    def _transport(self, address: str, connections: int) -> WorkerTransport:
+    def _transport(self, address: str, max_connections: int) -> WorkerTransport:
         transport = self._transports.get(address)
         if transport is None:
             url = httpx.URL(f"http://{address}/")
-            transport = self._transports[address] = WorkerTransport(url, connections)
-        transport.pool.limit = connections
+            transport = self._transports[address] = WorkerTransport(url, max_connections)
+        transport.pool.limit = max_connections
         return transport
 
     async def call(
@@ -140,14 +140,14 @@
         target: bytes,
         headers: list[tuple[bytes, bytes]],
         body: bytes,
-        connections: int,
+        max_connections: int,
         repeatable: bool = True,
     ) -> UpstreamResponse:
-        """Send a request and wait for the head of its answer.  Raises UpstreamError.
+        """Send a request and wait for the head of its response.  Raises UpstreamError.
 
-        `repeatable`: whether it may be sent again if its connection turns out to be forgotten.
+        `repeatable`: whether it may be sent again if the worker turns out to have closed its connection.
         """
-        transport = self._transport(address, connections)
+        transport = self._transport(address, max_connections)
         extensions = {"target": target, "timeout": {}, "repeatable": repeatable}
         request = httpx.Request(method, transport.url, headers=headers, content=body, extensions=extensions)
         strike(FaultPoint.BEFORE_CONNECT)
@@ -160,14 +160,14 @@
         strike(FaultPoint.AFTER_SEND)
         return UpstreamResponse(response)
 
-    def trim(self) -> None:
-        """Close connections that have rested too long."""
+    def close_expired(self) -> None:
+        """Close the connections that have been idle for too long."""
         for transport in self._transports.values():
-            transport.pool.trim()
+            transport.pool.close_expired()
 
-    async def forget(self, address: str) -> None:
-        """Close the connections to a worker that is gone."""
+    async def remove(self, address: str) -> None:
+        """Close the connections to a worker that has left."""
         transport = self._transports.pop(address, None)
         if transport is not None:
-            self._opened_to_forgotten += transport.pool.opened
+            self._opened_to_removed += transport.pool.total_opened
             await transport.aclose()
--- a/molespur/system/data_plane/worker_call.py
+++ b/molespur/system/data_plane/worker_call.py
@@ -1,7 +1,7 @@
-"""One call to a worker on behalf of a request: it reads the prompt apart, or gives the answer.
+"""One call to a worker on behalf of a request: a separate prefill, or a run that makes the response.
 
-A call reports how it ended as an event of its attempt; nothing here decides what follows.  What a worker has
-answered in part goes to the client only while the exchange lets the attempt go on.
+A call returns how it ended as an event of its attempt and decides nothing itself.  A part of a worker's
+response goes to the client only while the exchange lets the attempt continue.
 """
 
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 from absl import logging
 
 from ...policy.pair import Demand, Step
-from ...policy.tracking import Part
+from ...policy.tracking import ServingPhase
 from ..faults import FaultPoint, strike
 from ..settings.configuration import STREAMING, Route, Service
 from .answer_checks import check_head, is_framed, read_handle
@@ -18,26 +18,27 @@
 from .client_request import ClientRequest
 from .events import EventFilter, follows
 from .exchange_messages import (
-    AnswerEnded,
     AttemptFailed,
-    AttemptProgress,
+    AttemptProgressed,
     AttemptSilent,
     Event,
     Failure,
-    PromptRead,
-    Read,
-    Run,
+    PrefillCompleted,
+    ResponseCompleted,
+    StartPrefill,
+    StartRun,
 )
 from .serving_context import ServingContext
 from .silence import SilenceTimer
 from .upstream import EXPECTED_INSTANCE, Head, UpstreamError, UpstreamResponse
 
-PREFILL_SILENCE = 4.0, 400.0  # forecasts, and least ms, after which a prefill call counts as silent
-RUN_SILENCE = 4.0, 700.0  # the same for a call for the answer, until its first event
-MOST_DOUBT = 3.0  # with few schedulers heard, forecasts are poor: so many times longer at most
-SILENT_AFTER_GAPS = 4.0  # allowed pauses after which a stream counts as silent,
-MIN_STREAM_SILENCE_MS = 800.0  # and this long at least
-HEDGE_PRIORITY = 6  # after all requests that are no second attempt: their ranks are 0 to 5
+PREFILL_SILENCE = 4.0, 400.0  # forecasts, and minimum ms, after which a prefill call counts as silent
+RUN_SILENCE = 4.0, 700.0  # the same for a run, until its first event
+# forecasts are poor if few schedulers announce their work; then silence may be longer, up to this factor
+MAX_SILENCE_FACTOR = 3.0
+SILENT_AFTER_GAPS = 4.0  # a stream counts as silent after this many target gaps between events,
+MIN_STREAM_SILENCE_MS = 800.0  # but not before this
+HEDGE_PRIORITY = 6  # after all calls that are no hedges, whose priorities are the ranks 0 to 5
 
 
 class RequestContext(Protocol):
@@ -51,7 +52,7 @@
     client_response: ClientResponse
 
     def report(self, event: Event) -> None:
-        """Take an event at once, and do what follows from it."""
+        """Process an event at once and take the actions that follow."""
 
     @property
     def is_racing(self) -> bool:
@@ -61,34 +62,34 @@
 class WorkerCall:
     """One call; `run` carries it out and returns the event that ends it.
 
-    It counts as own work at its worker from here on, until `end`: the next decision, which may come before
-    `run` has begun, has to know of it.
+    It counts as own work at its worker from its creation until `end`: the next decision, which may be made
+    before `run` has started, has to take it into account.
     """
 
-    def __init__(self, shared: RequestContext, action: Read | Run):
+    def __init__(self, shared: RequestContext, action: StartPrefill | StartRun):
         self.shared, self.action = shared, action
         self.attempt, self.step = action.attempt, action.step
         self.clock: Callable[[], float] = shared.context.clock
         self.policy = shared.context.state.policy
         self.started_at = self.clock()
-        self.last_received_at = self.started_at  # when something of it came last, ms
-        self.first_response_at: float | None = None  # when its first answer came, ms
-        self.silence: SilenceTimer | None = None
-        self.goes_on = False  # what it brings is the client's answer
+        self.last_received_at = self.started_at  # when bytes of it last came, ms
+        self.first_response_at: float | None = None  # when its first response came, ms
+        self.silence_timer: SilenceTimer | None = None
+        self.has_progressed = False  # its response is the one that goes to the client
         self.started = self.ended = False
-        self.handle = ""  # of the memory that it has read apart
-        self.taken_up = False  # the memory that was read apart has been taken by this call's worker
-        self.key = next(shared.context.keys)
-        self.expected = (self.step.run, self.step.wait, self.step.forecast_ms)
-        self._begin()
+        self.handle = ""  # of the KV cache that its prefill has made
+        self.handle_taken = False  # the worker of this run has taken the KV cache of the prefill
+        self.key = next(shared.context.call_keys)
+        self.expected_ms = (self.step.run_ms, self.step.wait_ms, self.step.forecast_ms)
+        self._record_start()
 
-    def _begin(self) -> None:
+    def _record_start(self) -> None:
         state, step = self.shared.context.state, self.step
-        self.policy.begin(self.started_at, step, self.shared.demand, self.key)
+        self.policy.record_sent(self.started_at, step, self.shared.demand, self.key)
         meter = state.meter(self.shared.service.name)
-        meter.read(self.started_at, step.read)
-        meter.running += step.part is not Part.PREFILL
-        state.peer_work.record_placed(step.worker, self.shared.demand.shared)
+        meter.record_prefill(self.started_at, step.prefill_tokens)
+        meter.running += step.phase is not ServingPhase.PREFILL
+        state.peer_work.record_placed(step.worker, self.shared.demand.shared_segments)
         state.peer_work.mark_changed(step.worker)
 
     async def run(self) -> Event:
@@ -101,84 +102,85 @@
             return event
         except UpstreamError as error:
             outcome, failed = error.failure.value, error.failure is not Failure.REJECTED
-            logging.vlog(1, "%s at %s: %s", self._name(), self.step.worker.id, error)
+            logging.vlog(1, "call %s at worker %s: %s", self._attempt_id(), self.step.worker.id, error)
             return AttemptFailed(self.attempt, error.failure)
         finally:
             self.end(outcome, failed)
 
     def end(self, outcome: str, failed: bool = False) -> None:
-        """The call is over, or is never begun: it counts as own work no more."""
+        """The call has ended, or will never start: it no longer counts as own work."""
         self.ended = True
-        if self.silence is not None:
-            self.silence.stop()
+        if self.silence_timer is not None:
+            self.silence_timer.stop()
         now, step = self.clock(), self.step
-        self.shared.context.state.meter(self.shared.service.name).running -= step.part is not Part.PREFILL
-        self.shared.context.counts.calls[step.part.value, outcome] += 1
-        self.policy.ended(now, step, self.key, failed, now - self.started_at)
+        self.shared.context.state.meter(self.shared.service.name).running -= (
+            step.phase is not ServingPhase.PREFILL
+        )
+        self.shared.context.counts.calls[step.phase.value, outcome] += 1
+        self.policy.record_ended(now, step, self.key, failed, now - self.started_at)
         self.shared.context.state.peer_work.mark_changed(step.worker)
-        first = (
+        first_ms = (
             self.first_response_at - self.started_at if self.first_response_at is not None else float("nan")
         )
-        logging.vlog(1, "%s: %s at %s: run %.0f wait %.0f forecast %.0f, first answer %.0f, all %.0f ms",
-                     self.shared.route.name, step.part.value, step.worker.id, *self.expected,
-                     first, now - self.started_at)  # fmt: skip
+        logging.vlog(1, "%s: %s at %s: run %.0f, wait %.0f, forecast %.0f, first response %.0f, all %.0f ms",
+                     self.shared.route.name, step.phase.value, step.worker.id, *self.expected_ms,
+                     first_ms, now - self.started_at)  # fmt: skip
 
-    def overtaken(self) -> None:
-        """Another attempt was faster: note what this tells of the worker, before the call is cancelled."""
-        self.policy.overtaken(
+    def record_overtaken(self) -> None:
+        """Record what a faster attempt shows of this call's worker, before the call is cancelled."""
+        self.policy.record_overtaken(
             self.clock(),
             self.step,
             self.started_at,
             self.last_received_at,
-            answered=self.first_response_at is not None,
+            responded=self.first_response_at is not None,
         )
 
-    def _name(self) -> str:
+    def _attempt_id(self) -> str:
         return self.shared.request.attempt_id.decode("latin1")
 
     async def _carry_out(self) -> Event:
-        if isinstance(self.action, Read):
-            return await self._read_prompt()
+        if isinstance(self.action, StartPrefill):
+            return await self._prefill()
         return await self._run()
 
     # -- Silence -----------------------------------------------------------------------------------
 
-    def _watch_silence(self, forecasts: float, least_ms: float) -> None:
-        age_s = silence_age_s(self.step, forecasts, least_ms)
-        self.silence = SilenceTimer(age_s, self._on_silence)
+    def _start_silence_timer(self, forecasts: float, min_ms: float) -> None:
+        age_s = silence_age_s(self.step, forecasts, min_ms)
+        self.silence_timer = SilenceTimer(age_s, self._on_silence)
 
     def _on_silence(self) -> None:
         self.shared.report(AttemptSilent(self.attempt))
 
     def _on_bytes_received(self) -> None:
-        """Bytes of the answer have come."""
         self.last_received_at = self.clock()
-        self.step.worker.heard(self.last_received_at)
+        self.step.worker.record_received(self.last_received_at)
 
     def _on_first_response(self) -> None:
         self.first_response_at = now = self.clock()
-        self.policy.first_answer(now, self.step, self.shared.demand, self.key, now - self.started_at)
+        self.policy.record_first_response(now, self.step, self.shared.demand, self.key, now - self.started_at)
         self.shared.context.state.peer_work.mark_changed(self.step.worker)
 
     # -- The call ----------------------------------------------------------------------------------
 
     def _headers(self, extra: list[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
-        left = self.shared.demand.deadline_at - self.clock()
+        left_ms = self.shared.demand.deadline_at - self.clock()
         headers = self.shared.request.headers
         if any(name == b"Last-Event-Id" for name, _ in extra):
             headers = [(k, v) for k, v in headers if k.lower() != b"last-event-id"]
         headers = [
             *headers,
-            (b"Molespur-Deadline-Ms", str(max(int(left), 1)).encode()),
+            (b"Molespur-Deadline-Ms", str(max(int(left_ms), 1)).encode()),
             (EXPECTED_INSTANCE, self.step.worker.id.encode()),
             *extra,
         ]
-        if self.step.part is not Part.PLAIN:
+        if self.step.phase is not ServingPhase.PLAIN:
             priority = HEDGE_PRIORITY if self.action.hedge else self.step.rank
             headers.append((b"Priority", b"%d" % priority))
         return headers
 
-    async def _call(self, extra: list[tuple[bytes, bytes]], stamped: bool = True) -> UpstreamResponse:
+    async def _call(self, extra: list[tuple[bytes, bytes]], needs_stamp: bool = True) -> UpstreamResponse:
         shared, step = self.shared, self.step
         response = await shared.context.upstreams.call(
             step.worker.address,
@@ -186,30 +188,30 @@
             shared.request.target,
             self._headers(extra),
             shared.request.body,
-            shared.context.state.connections(shared.service),
-            repeatable=step.part is Part.PREFILL or shared.route.repeatable,
+            shared.context.state.max_connections(shared.service),
+            repeatable=step.phase is ServingPhase.PREFILL or shared.route.repeatable,
         )
         try:
-            check_head(response.head, shared.request.attempt_id, stamped)
+            check_head(response.head, shared.request.attempt_id, needs_stamp)
         except UpstreamError:
             await response.close()
             raise
         return response
 
-    async def _read_prompt(self) -> Event:
-        self._watch_silence(*PREFILL_SILENCE)
-        response = await self._call([(b"Molespur-Serving-Phase", b"prefill")], stamped=False)
+    async def _prefill(self) -> Event:
+        self._start_silence_timer(*PREFILL_SILENCE)
+        response = await self._call([(b"Molespur-Serving-Phase", b"prefill")], needs_stamp=False)
         try:
             body = await response.read()
         finally:
             await response.close()
         if response.head.status != 200:
-            raise UpstreamError(Failure.MAY_HAVE_RUN, f"status {response.head.status}")
+            raise UpstreamError(Failure.MAY_HAVE_RUN, f"prefill returned status {response.head.status}")
         self.handle = read_handle(body)
         self._on_bytes_received()
         self._on_first_response()
         strike(FaultPoint.AFTER_PREFILL)
-        return PromptRead(self.attempt, self.handle)
+        return PrefillCompleted(self.attempt, self.handle)
 
     async def _run(self) -> Event:
         route, action = self.shared.route, self.action
@@ -219,81 +221,83 @@
         last_id = self.shared.client_response.last_event_id
         if action.resume:
             if not last_id:
-                raise UpstreamError(Failure.NOT_SENT, "a stream whose events have no ids can't be taken up")
+                raise UpstreamError(Failure.NOT_SENT, "stream can't be resumed: its events have no ids")
             extra.append((b"Last-Event-Id", last_id))
         if route.repeatable and route.max_attempts > 1:
-            self._watch_silence(*RUN_SILENCE)
+            self._start_silence_timer(*RUN_SILENCE)
         response = await self._call(extra)
-        self.taken_up = True
+        self.handle_taken = True
         try:
             strike(FaultPoint.AFTER_HEAD)
             self.shared.client_response.check_continues(response.head)
             if route.type == STREAMING and 200 <= response.head.status < 300:
                 return await self._relay_events(response, last_id)
-            return await self._relay_whole(response)
+            return await self._relay_complete(response)
         finally:
             await response.close()
 
-    # -- The answer --------------------------------------------------------------------------------
+    # -- The response ------------------------------------------------------------------------------
 
-    async def _relay_whole(self, response: UpstreamResponse) -> Event:
-        """An answer that is read whole before it goes on."""
+    async def _relay_complete(self, response: UpstreamResponse) -> Event:
+        """Read the response to its end before any of it goes to the client."""
         head = response.head
         body = await response.read()
         if not is_framed(head):
             raise UpstreamError(Failure.MAY_HAVE_RUN, "response without framing headers may be truncated")
         self._on_bytes_received()
         self._on_first_response()
-        if head.status >= 400 and self.shared.is_racing:  # the other attempt may do better
-            raise UpstreamError(Failure.MAY_HAVE_RUN, f"status {head.status} beside another attempt")
-        self._goes_on()
+        if head.status >= 400 and self.shared.is_racing:  # the other attempt may succeed
+            raise UpstreamError(Failure.MAY_HAVE_RUN, f"status {head.status} while another attempt is open")
+        self._report_progress()
         await self.shared.client_response.send_complete(head, body)
-        return AnswerEnded(self.attempt)
+        return ResponseCompleted(self.attempt)
 
     async def _relay_events(self, response: UpstreamResponse, last_id: bytes) -> Event:
-        """A stream: each whole event goes on as it comes."""
-        pause_s = max(SILENT_AFTER_GAPS * self.shared.route.gap_aim_ms, MIN_STREAM_SILENCE_MS) / 1000.0
-        head, answer = response.head, self.shared.client_response
+        """Forward each complete event of a stream as it arrives."""
+        silence_s = max(SILENT_AFTER_GAPS * self.shared.route.gap_aim_ms, MIN_STREAM_SILENCE_MS) / 1000.0
+        head, client_response = response.head, self.shared.client_response
         events = EventFilter(last_id, head.get(b"versions"))
-        fresh = not self.action.resume
+        first_id_checked = not self.action.resume
         async for chunk in response.chunks():
             self._on_bytes_received()
             if self.first_response_at is None:
                 self._on_first_response()
-            if self.silence is not None:
-                self.silence.heard(pause_s)
+            if self.silence_timer is not None:
+                self.silence_timer.restart(silence_s)
             complete_events = events.feed(chunk)
             if not complete_events:
                 continue
-            if not fresh:
-                fresh = True
+            if not first_id_checked:
+                first_id_checked = True
                 if not follows(complete_events, last_id):
-                    raise UpstreamError(Failure.MAY_HAVE_RUN, "events that the client has already")
+                    raise UpstreamError(
+                        Failure.MAY_HAVE_RUN, "resumed stream repeats events that the client has received"
+                    )
             await self._forward(head, complete_events, events)
             strike(FaultPoint.BETWEEN_EVENTS)
         if not is_framed(head):
-            raise UpstreamError(Failure.MAY_HAVE_RUN, "a stream without framing may be cut short")
+            raise UpstreamError(Failure.MAY_HAVE_RUN, "stream without framing headers may be truncated")
         strike(FaultPoint.AFTER_LAST_EVENT)
-        self._goes_on()
-        await answer.end_stream(head, events.rest())
-        return AnswerEnded(self.attempt)
+        self._report_progress()
+        await client_response.end_stream(head, events.take_rest())
+        return ResponseCompleted(self.attempt)
 
-    def _goes_on(self) -> None:
-        """Tell it before the next bytes go to the client: an attempt that is overtaken ends first."""
-        if not self.goes_on or self.shared.is_racing:
-            self.goes_on = True
-            self.shared.report(AttemptProgress(self.attempt))
+    def _report_progress(self) -> None:
+        """Report progress before the next bytes go to the client: another attempt is cancelled first."""
+        if not self.has_progressed or self.shared.is_racing:
+            self.has_progressed = True
+            self.shared.report(AttemptProgressed(self.attempt))
 
     async def _forward(self, head: Head, complete_events: bytes, events: EventFilter) -> None:
-        self._goes_on()
-        if self.silence is not None:
-            self.silence.hold()
+        self._report_progress()
+        if self.silence_timer is not None:
+            self.silence_timer.pause()
         await self.shared.client_response.send_events(head, complete_events, events)
-        if self.silence is not None:
-            self.silence.release()
+        if self.silence_timer is not None:
+            self.silence_timer.resume()
 
 
-def silence_age_s(step: Step, forecasts: float, least_ms: float) -> float:
-    """When (s) a call counts as silent: the fewer schedulers are heard, the less a forecast is worth."""
-    doubt = min(max(step.worker.peer_scale, 1.0) ** 0.5, MOST_DOUBT)
-    return doubt * max(forecasts * step.forecast_ms, least_ms) / 1000.0
+def silence_age_s(step: Step, forecasts: float, min_ms: float) -> float:
+    """When (s) a call counts as silent: the fewer schedulers announce their work, the later."""
+    factor = min(max(step.worker.peer_scale, 1.0) ** 0.5, MAX_SILENCE_FACTOR)
+    return factor * max(forecasts * step.forecast_ms, min_ms) / 1000.0
--- a/tests/system/mutations/breaks.py
+++ b/tests/system/mutations/breaks.py
@@ -147,7 +147,7 @@
           "        return self._start_attempt(selection, resume, hedge=True)",
           EXCHANGE_TESTS + REST_TESTS),
     Break("a failed attempt that ends the request beside an open one", DATA_PLANE + "exchange.py",
-          "if self.open_attempts:\n            return []  # the other one goes on", "",
+          "if self.open_attempts:\n            return []  # the other attempt continues", "",
           EXCHANGE_TESTS + REST_TESTS),
     Break("an attempt that was overtaken and goes on", DATA_PLANE + "exchange.py",
           "return [self._cancel(other) for other in self._other_attempts(attempt)]", "return []",
--- a/tests/system/test_connection_pool.py
+++ b/tests/system/test_connection_pool.py
@@ -7,7 +7,7 @@
 from wire import ScriptedWorker, answer, run
 
 from molespur.system.data_plane import pool as pooling
-from molespur.system.data_plane.pool import ConnectionPool, rest_of
+from molespur.system.data_plane.pool import ConnectionPool, max_idle_after
 
 
 class Rig:
@@ -53,10 +53,10 @@
             await response.aread()
             await response.aclose()
         assert rig.worker.connections == 2
-        newest = rig.pool._resting[-1]
+        newest = rig.pool._idle[-1]
         for _ in range(3):
             await rig.call()
-            assert rig.pool._resting[-1] is newest
+            assert rig.pool._idle[-1] is newest
         assert rig.worker.connections == 2
 
     rig_test(scenario, answer)
@@ -140,7 +140,7 @@
     async def scenario(rig):
         await rig.call()
         await rig.worker.closed.wait()
-        stream = rig.pool._resting[-1].connection._network_stream
+        stream = rig.pool._idle[-1].connection._network_stream
         while not stream.get_extra_info("is_readable"):
             await asyncio.sleep(0)
         assert await rig.call() == 200
@@ -180,10 +180,10 @@
     async def scenario(rig):
         await rig.call()
         rig.now += 14.0
-        rig.pool.trim()
+        rig.pool.close_expired()
         assert rig.pool.open == 1
         rig.now += 1.0
-        rig.pool.trim()
+        rig.pool.close_expired()
         await rig.worker.closed.wait()
         assert rig.pool.open == 0
 
@@ -203,7 +203,7 @@
     ],
 )
 def test_what_a_worker_says_of_its_patience(value, seconds):
-    assert rest_of([(b"X", b"timeout=1"), (b"Keep-Alive", value)]) == seconds
+    assert max_idle_after([(b"X", b"timeout=1"), (b"Keep-Alive", value)]) == seconds
 
 
 def test_a_connection_whose_call_was_broken_off_is_closed_and_not_kept():
--- a/tests/system/test_data_plane_parts.py
+++ b/tests/system/test_data_plane_parts.py
@@ -40,7 +40,7 @@
     assert events.last_id == b"3"
     resumed = EventFilter(events.last_id)
     assert resumed.feed(b"id: 4\ndata: y\n\n") == b"id: 4\ndata: y\n\n"
-    assert resumed.last_id == b"4" and events.rest() == b"id: 4\nda"
+    assert resumed.last_id == b"4" and events.take_rest() == b"id: 4\nda"
 
 
 @pytest.mark.parametrize(
@@ -94,15 +94,15 @@
 @given(arrivals=st.lists(st.tuples(st.floats(0, 400), st.booleans()), max_size=200), count=st.integers(1, 9))
 def test_the_budget_holds_in_every_window(arrivals, count):
     budget, now, requests, repeats = RetryBudget(0.2, 54.0, 10_000.0), 0.0, [], []
-    budget.schedulers(0.0, count)
+    budget.set_scheduler_count(0.0, count)
     for gap, repeat in arrivals:
         now += gap
-        budget.schedulers(now, count)
+        budget.set_scheduler_count(now, count)
         if repeat:
             if budget.spend(now):
                 repeats.append(now)
         else:
-            budget.request(now)
+            budget.count_request(now)
             requests.append(now)
         window = [t for t in repeats if t > now - 10_000.0]
         allowed = 0.2 * sum(t >= now - 10_000.0 for t in requests) + 54.0 / count
@@ -116,19 +116,21 @@
 
 def test_the_most_schedulers_of_late_divide_the_budget():
     budget = RetryBudget(0.0, 54.0, 10_000.0)
-    budget.schedulers(0.0, 9)
-    budget.schedulers(100.0, 1)
+    budget.set_scheduler_count(0.0, 9)
+    budget.set_scheduler_count(100.0, 1)
     assert sum(budget.spend(100.0) for _ in range(50)) <= 54 / 9
 
 
 def test_the_load_meter_forgets():
     meter = LoadMeter()
-    meter.read(0.0, 3000.0)
-    assert meter.read_tokens_per_s(10.0) == 6000.0, "the first moments stand for no less than half a second"
-    meter.read(3000.0, 3000.0)
-    assert meter.read_tokens_per_s(3000.0) == 2000.0
-    assert meter.read_tokens_per_s(4000.0) == 1000.0
-    assert meter.read_tokens_per_s(9000.0) == 0.0
+    meter.record_prefill(0.0, 3000.0)
+    assert meter.prefill_tokens_per_s(10.0) == 6000.0, (
+        "the first moments stand for no less than half a second"
+    )
+    meter.record_prefill(3000.0, 3000.0)
+    assert meter.prefill_tokens_per_s(3000.0) == 2000.0
+    assert meter.prefill_tokens_per_s(4000.0) == 1000.0
+    assert meter.prefill_tokens_per_s(9000.0) == 0.0
 
 
 def scope(*headers, path=b"/a/b", query=b"x=%20y"):
@@ -192,8 +194,8 @@
         scope((b"Molespur-Token-Usage", b"1460,80"), (b"Molespur-Prompt-Prefix", prefix)), Limits()
     )
     route = Route("r", "shop.example", "/a/", service="s")
-    demand = demand_of(request, route, Service("s", engine=Engine()), 0.0, lowest=False)
-    assert demand.parts == () and demand.tokens == 1460.0
+    demand = demand_of(request, route, Service("s", engine=Engine()), 0.0, lowest_priority=False)
+    assert demand.segments == () and demand.tokens == 1460.0
 
 
 def head(status, **headers):
--- a/tests/system/test_exchange.py
+++ b/tests/system/test_exchange.py
@@ -7,7 +7,7 @@
 import pytest
 
 from molespur.policy.pair import Demand, EngineShape, RoutePlan, Selection, Step
-from molespur.policy.tracking import Part, WorkerTrack
+from molespur.policy.tracking import ServingPhase, WorkerTrack
 from molespur.system.data_plane import exchange_messages as machine
 from molespur.system.data_plane.exchange import Exchange
 from molespur.system.data_plane.exchange_messages import Failure, HedgeRefusal, State
@@ -32,7 +32,7 @@
     def __init__(self, pair=True):
         self.pair = pair
         self.forecast = 40.0
-        self.meets = True
+        self.meets_target = True
 
     def choose(self, _now, workers, _demand, avoid):
         left = [w for w in workers if w.id not in avoid]
@@ -40,13 +40,13 @@
         readers = [w for w in left if w.phase == "prefill"]
         if not runners:
             return None
-        run = step(runners[0], Part.DECODE if self.pair else Part.DIRECT)
-        steps = (step(readers[0], Part.PREFILL), run) if self.pair and readers else (run,)
-        return Selection(RoutePlan(steps, self.forecast, 1.0, 40.0), self.meets)
+        run = step(runners[0], ServingPhase.DECODE if self.pair else ServingPhase.DIRECT)
+        steps = (step(readers[0], ServingPhase.PREFILL), run) if self.pair and readers else (run,)
+        return Selection(RoutePlan(steps, self.forecast, 1.0, 40.0), self.meets_target)
 
     def choose_decode(self, _now, workers, _demand, _source, avoid):
         runners = [w for w in workers if w.id not in avoid and w.phase == "decode"]
-        return step(runners[0], Part.DECODE) if runners else None
+        return step(runners[0], ServingPhase.DECODE) if runners else None
 
 
 def exchange(pair=True, budget=10, workers=None, **route):
@@ -73,33 +73,33 @@
 
 
 def begin(request, now=0):
-    return only(request.handle(now, machine.Begin()))
+    return only(request.handle(now, machine.RequestReceived()))
 
 
 def fails(request, now, failure, attempt=None):
-    return only(request.handle(now, machine.AttemptFailed(attempt or request.begun, failure)))
+    return only(request.handle(now, machine.AttemptFailed(attempt or request.attempts_started, failure)))
 
 
 def reads(request, now, handle="h"):
-    return only(request.handle(now, machine.PromptRead(request.begun, handle)))
+    return only(request.handle(now, machine.PrefillCompleted(request.attempts_started, handle)))
 
 
 def goes_on(request, now, attempt=None):
-    return request.handle(now, machine.AttemptProgress(attempt or request.begun))
+    return request.handle(now, machine.AttemptProgressed(attempt or request.attempts_started))
 
 
 def ends_with(action, kind):
-    assert action == machine.Answer(kind), action
+    assert action == machine.RespondWithError(kind), action
 
 
 def test_a_pair_reads_then_runs_then_is_done():
     request = exchange()
     read = begin(request)
-    assert isinstance(read, machine.Read) and read.step.worker.id == "p1"
+    assert isinstance(read, machine.StartPrefill) and read.step.worker.id == "p1"
     run = reads(request, 50, "h1")
     assert (run.step.worker.id, run.source.id, run.handle) == ("d1", "p1", "h1")
     goes_on(request, 80)
-    assert request.handle(100, machine.AnswerEnded(1)) == [machine.Finish()]
+    assert request.handle(100, machine.ResponseCompleted(1)) == [machine.Finish()]
     assert request.state is State.DONE and request.granted == []
 
 
@@ -136,7 +136,7 @@
     request = exchange()
     begin(request)
     second = fails(request, 10, Failure.REJECTED)
-    assert isinstance(second, machine.Read) and second.step.worker.id == "p2"
+    assert isinstance(second, machine.StartPrefill) and second.step.worker.id == "p2"
     assert len(request.granted) == 1
     reads(request, 20, "h")
     assert len(request.granted) == 1, (
@@ -149,7 +149,7 @@
     begin(request)
     fails(request, 10, Failure.MAY_HAVE_RUN)
     run = reads(request, 20, "h")
-    assert isinstance(run, machine.Run) and len(request.granted) == 1
+    assert isinstance(run, machine.StartRun) and len(request.granted) == 1
 
 
 def test_a_prefill_call_is_no_run():
@@ -157,7 +157,7 @@
     begin(request)
     fails(request, 10, Failure.MAY_HAVE_RUN)
     final = fails(request, 20, Failure.MAY_HAVE_RUN)
-    assert isinstance(final, machine.Run) and final.source is None
+    assert isinstance(final, machine.StartRun) and final.source is None
 
 
 def test_a_handle_that_is_gone_means_another_way():
@@ -165,7 +165,7 @@
     begin(request)
     reads(request, 10, "h")
     again = fails(request, 20, Failure.REJECTED)
-    assert isinstance(again, machine.Read) and len(request.granted) == 1
+    assert isinstance(again, machine.StartPrefill) and len(request.granted) == 1
 
 
 def test_a_broken_stream_goes_on_elsewhere_only_if_it_may():
@@ -173,7 +173,7 @@
     begin(request)
     goes_on(request, 10)
     more = fails(request, 20, Failure.MAY_HAVE_RUN)
-    assert isinstance(more, machine.Run) and more.resume and more.step.worker.id == "d2"
+    assert isinstance(more, machine.StartRun) and more.resume and more.step.worker.id == "d2"
     assert fails(request, 30, Failure.MAY_HAVE_RUN) == machine.AbortResponse()
     fixed = exchange(pair=False)
     begin(fixed)
@@ -196,7 +196,7 @@
     ends_with(begin(request), ErrorKind.OVERLOADED)
     lowest = exchange()
     lowest.demand.lowest_priority = True
-    lowest.policy.forecast, lowest.policy.meets = 1500.0, False
+    lowest.policy.forecast, lowest.policy.meets_target = 1500.0, False
     ends_with(begin(lowest), ErrorKind.OVERLOADED)
 
 
@@ -208,13 +208,13 @@
     action = begin(request)
     may_have_run = False
     for failure in failures:
-        if isinstance(action, machine.Read):
+        if isinstance(action, machine.StartPrefill):
             action = reads(request, 10, "h")
-        if not isinstance(action, machine.Run):
+        if not isinstance(action, machine.StartRun):
             break
         may_have_run |= failure is Failure.MAY_HAVE_RUN
         action = fails(request, 20, failure)
-    if isinstance(action, machine.Answer):
+    if isinstance(action, machine.RespondWithError):
         assert not (may_have_run and ANSWERS[action.kind].promises_not_run)
     else:
         assert not may_have_run, "a stream that may not be resumed was sent again"
@@ -231,7 +231,7 @@
     request = exchange(pair=False, resumable=True, max_attempts=2)
     begin(request)
     hedge = only(silent(request, 700))
-    assert isinstance(hedge, machine.Run) and hedge.step.worker.id == "d2" and hedge.hedge
+    assert isinstance(hedge, machine.StartRun) and hedge.step.worker.id == "d2" and hedge.hedge
     assert set(request.open_attempts) == {1, 2} and len(request.granted) == 1
     assert silent(request, 1400) == silent(request, 1500, 2) == [], "two are the most"
 
@@ -243,9 +243,9 @@
     silent(request, 700)
     assert goes_on(request, 800, first) == [machine.CancelAttempt(3 - first)]
     assert goes_on(request, 810, 3 - first) == [], "what was ended brings nothing more"
-    assert request.handle(820, machine.AnswerEnded(3 - first)) == []
-    assert request.handle(900, machine.AnswerEnded(first)) == [machine.Finish()]
-    assert request.hedges.outcomes["won"] == (first == 2)
+    assert request.handle(820, machine.ResponseCompleted(3 - first)) == []
+    assert request.handle(900, machine.ResponseCompleted(first)) == [machine.Finish()]
+    assert request.hedge_gate.outcomes["won"] == (first == 2)
 
 
 def test_a_stream_that_falls_silent_is_taken_up_only_beside_the_first():
@@ -253,7 +253,7 @@
     begin(request)
     goes_on(request, 100)
     hedge = only(silent(request, 1300))
-    assert hedge.resume and request.state is State.ANSWERING
+    assert hedge.resume and request.state is State.RESPONDING
     assert goes_on(request, 1400, 1) == [machine.CancelAttempt(2)], "the first has gone on after all"
     assert fails(request, 1500, Failure.MAY_HAVE_RUN, 1) == machine.AbortResponse(), "both attempts were used"
 
@@ -266,7 +266,7 @@
     assert request.handle(710, machine.AttemptFailed(2, failure)) == []
     assert set(request.open_attempts) == {1} and request.state is State.OPEN
     goes_on(request, 800, 1)
-    assert request.handle(900, machine.AnswerEnded(1)) == [machine.Finish()]
+    assert request.handle(900, machine.ResponseCompleted(1)) == [machine.Finish()]
 
 
 def test_the_first_may_fail_beside_the_second():
@@ -290,10 +290,10 @@
     request = exchange(pair=False, **REFUSED_HEDGES[refusal])
     begin(request)
     assert silent(request, 700) == []
-    assert request.hedge_refusal is refusal and request.hedges.outcomes[refusal.value] == 1
-    assert set(request.open_attempts) == {1} and request.counted == 1
+    assert request.hedge_refusal is refusal and request.hedge_gate.outcomes[refusal.value] == 1
+    assert set(request.open_attempts) == {1} and request.counted_arrivals == 1
     goes_on(request, 800)
-    assert request.handle(900, machine.AnswerEnded(1)) == [machine.Finish()]
+    assert request.handle(900, machine.ResponseCompleted(1)) == [machine.Finish()]
 
 
 def test_no_second_attempt_without_time():
@@ -307,8 +307,8 @@
     request = exchange(budget=1)
     begin(request)
     second = only(silent(request, 500))
-    assert isinstance(second, machine.Read) and second.step.worker.id == "p2"
-    abandoned, run = request.handle(600, machine.PromptRead(1, "h1"))
+    assert isinstance(second, machine.StartPrefill) and second.step.worker.id == "p2"
+    abandoned, run = request.handle(600, machine.PrefillCompleted(1, "h1"))
     assert abandoned == machine.CancelAttempt(2)
     assert (run.source.id, run.handle, run.attempt) == ("p1", "h1", 1)
     assert silent(request, 1500) == [], "what may not be repeated runs once"
@@ -320,7 +320,7 @@
     request = exchange(budget=1)
     begin(request)
     silent(request, 500)
-    abandoned, run = request.handle(600, machine.PromptRead(2, "h2"))
+    abandoned, run = request.handle(600, machine.PrefillCompleted(2, "h2"))
     assert abandoned == machine.CancelAttempt(1) and (run.source.id, run.handle) == ("p2", "h2")
 
 
@@ -337,11 +337,11 @@
     request = exchange(workers=known, resumable=True, max_attempts=2)
     begin(request)
     run = reads(request, 100)
-    assert isinstance(run, machine.Run)
+    assert isinstance(run, machine.StartRun)
     known.append(worker("d2"))
-    assert isinstance(only(silent(request, 900)), machine.Read)
+    assert isinstance(only(silent(request, 900)), machine.StartPrefill)
     known.pop()
-    assert request.handle(1000, machine.PromptRead(2, "h2")) == [machine.CancelAttempt(2)]
+    assert request.handle(1000, machine.PrefillCompleted(2, "h2")) == [machine.CancelAttempt(2)]
     assert set(request.open_attempts) == {1}
 
 
@@ -376,7 +376,7 @@
         self.now, self.final = 0.0, None
 
     def play(self):
-        self.take(self.request.handle(self.now, machine.Begin()))
+        self.take(self.request.handle(self.now, machine.RequestReceived()))
         while self.final is None:
             self.now += self.random.choice((1.0, 50.0, 700.0))
             assert self.reading or self.running, "a request with no attempt out is never answered"
@@ -400,20 +400,20 @@
             return machine.AttemptFailed(number, failure)
         if number in self.reading:
             self.reading.discard(number)
-            return machine.PromptRead(number, f"h{number}")
+            return machine.PrefillCompleted(number, f"h{number}")
         if self.progressed == number and self.random.random() < 0.5:
             self.running.discard(number)
-            return machine.AnswerEnded(number)
+            return machine.ResponseCompleted(number)
         self.progressed = number
-        return machine.AttemptProgress(number)
+        return machine.AttemptProgressed(number)
 
     def take(self, actions):
         for action in actions:
             assert self.final is None, "nothing follows the end"
             match action:
-                case machine.Read(number):
+                case machine.StartPrefill(number):
                     self.reading.add(number)
-                case machine.Run(number):
+                case machine.StartRun(number):
                     self.running.add(number)
                     self.ran += 1
                     assert action.resume == (self.progressed is not None), (
@@ -427,11 +427,11 @@
         assert len(self.reading) + len(self.running) <= 2
         most = self.route.get("max_attempts", 1) if self.route != ROUTES[0] else 1
         assert self.ran <= most, f"ran {self.ran} times on a route for {most}"
-        assert self.request.spent == len(self.request.granted), "each right is taken once"
+        assert self.request.budget_spent == len(self.request.granted), "each right is taken once"
 
     def check_end(self):
         match self.final:
-            case machine.Answer(kind):
+            case machine.RespondWithError(kind):
                 assert self.progressed is None, "an answer of our own after a part of a worker's"
                 assert not (self.ran and ANSWERS[kind].promises_not_run)
             case machine.AbortResponse():
@@ -449,7 +449,7 @@
         except AssertionError as error:
             raise AssertionError(f"seed {seed}: {error}") from error
         ends[type(history.final)] += 1
-        hedged += history.request.hedges.outcomes["begun"]
-        won += history.request.hedges.outcomes["won"]
-    assert set(ends) == {machine.Answer, machine.AbortResponse, machine.Finish}, ends
+        hedged += history.request.hedge_gate.outcomes["begun"]
+        won += history.request.hedge_gate.outcomes["won"]
+    assert set(ends) == {machine.RespondWithError, machine.AbortResponse, machine.Finish}, ends
     assert hedged > HISTORIES / 10 and won, (hedged, won)
--- a/tests/system/test_hedging.py
+++ b/tests/system/test_hedging.py
@@ -5,49 +5,62 @@
 import pytest
 
 from molespur.policy.pair import Demand, PairPolicy, Step
-from molespur.policy.tracking import FIRST_REST_MS, Part, WorkerTrack
+from molespur.policy.tracking import MIN_EJECTION_MS, ServingPhase, WorkerTrack
 from molespur.system.data_plane.exchange_messages import HedgeRefusal
-from molespur.system.data_plane.hedging import LEAST_SAMPLE, MOST_SAVED, REST_MS, SHARE, HedgeGate
+from molespur.system.data_plane.hedging import (
+    HEDGES_PER_REQUEST,
+    MAX_SAVED_HEDGES,
+    MIN_BUSY_WORKERS,
+    UNRESPONSIVE_MS,
+    HedgeGate,
+)
 
 
-def at_work(name, busy_since=0.0, heard_at=float("-inf")):
+def at_work(name, busy_since=0.0, last_received_at=float("-inf")):
     return WorkerTrack(
-        name, "10.0.0.1:80", "a", "decode", 64, unfinished=1, busy_since=busy_since, heard_at=heard_at
+        name,
+        "10.0.0.1:80",
+        "a",
+        "decode",
+        64,
+        unfinished=1,
+        busy_since=busy_since,
+        last_received_at=last_received_at,
     )
 
 
 def test_hedges_beside_workers_that_answer_others_have_a_share_of_the_traffic():
     now = 10_000.0
-    busy = at_work("w", heard_at=now - 1)
+    busy = at_work("w", last_received_at=now - 1)
     gate = HedgeGate(lambda: [busy])
     begun = 0
     for _ in range(1000):
-        gate.request()
+        gate.count_request()
         while gate.refusal(now, busy) is None and begun < 1000:
-            gate.began(now, busy)
+            gate.count_started(now, busy)
             begun += 1
     assert gate.refusal(now, busy) is HedgeRefusal.SHARE_USED
-    assert begun == pytest.approx(1000 * SHARE, abs=2)
+    assert begun == pytest.approx(1000 * HEDGES_PER_REQUEST, abs=2)
 
 
 def test_a_quiet_time_saves_few_hedges():
-    busy = at_work("w", heard_at=9_999.0)
+    busy = at_work("w", last_received_at=9_999.0)
     gate = HedgeGate(lambda: [busy])
     for _ in range(10_000):
-        gate.request()
+        gate.count_request()
     begun = 0
     while gate.refusal(10_000.0, busy) is None and begun < 1000:
-        gate.began(10_000.0, busy)
+        gate.count_started(10_000.0, busy)
         begun += 1
-    assert begun == int(MOST_SAVED)
+    assert begun == int(MAX_SAVED_HEDGES)
 
 
 def test_beside_a_worker_that_says_nothing_to_anybody_the_share_does_not_count():
     lost = at_work("w")
     gate = HedgeGate(lambda: [lost])
     for _ in range(50):
-        assert gate.refusal(REST_MS, lost) is None
-        gate.began(REST_MS, lost)
+        assert gate.refusal(UNRESPONSIVE_MS, lost) is None
+        gate.count_started(UNRESPONSIVE_MS, lost)
     assert gate.outcomes["begun"] == 50
 
 
@@ -55,15 +68,15 @@
 def test_while_most_workers_rest_none_is_begun(resting):
     now = 10_000.0
     workers = [at_work(f"r{n}") for n in range(resting)]
-    workers += [at_work(f"w{n}", heard_at=now - REST_MS / 2) for n in range(5 - resting)]
+    workers += [at_work(f"w{n}", last_received_at=now - UNRESPONSIVE_MS / 2) for n in range(5 - resting)]
     idle = WorkerTrack("idle", "10.0.0.1:80", "a", "decode", 64)
     gate = HedgeGate(lambda: [*workers, idle])
-    expected = HedgeRefusal.MOST_WORKERS_REST if resting > 2 else None
+    expected = HedgeRefusal.MOST_WORKERS_SILENT if resting > 2 else None
     assert gate.refusal(now, workers[0]) is expected
 
 
 def test_few_workers_at_work_tell_nothing_of_the_load():
-    workers = [at_work(f"r{n}") for n in range(LEAST_SAMPLE - 1)]
+    workers = [at_work(f"r{n}") for n in range(MIN_BUSY_WORKERS - 1)]
     assert HedgeGate(lambda: workers).refusal(10_000.0, workers[0]) is None
 
 
@@ -71,33 +84,33 @@
 
 
 def begun_call(policy, worker, now=0.0):
-    step = Step(worker, Part.DECODE, 20.0, 0.0, 0.0, 1.0, 40.0)
-    policy.begin(now, step, Demand("r", 300.0, 3000.0), "key")
+    step = Step(worker, ServingPhase.DECODE, 20.0, 0.0, 0.0, 1.0, 40.0)
+    policy.record_sent(now, step, Demand("r", 300.0, 3000.0), "key")
     return step
 
 
-def overtaken(policy, step, now, last_heard, answered=False):
-    policy.overtaken(now, step, 0.0, last_heard, answered)
-    policy.ended(now, step, "key", failed=False, elapsed=now)
+def overtaken(policy, step, now, last_received_at, responded=False):
+    policy.record_overtaken(now, step, 0.0, last_received_at, responded)
+    policy.record_ended(now, step, "key", failed=False, elapsed_ms=now)
 
 
 def test_a_worker_that_was_overtaken_has_not_failed():
     policy, worker = PairPolicy("a", Random(1)), WorkerTrack("w", "10.0.0.1:80", "a", "decode", 64)
-    before = policy.model.pace(Part.DECODE)
+    before = policy.model.pace(ServingPhase.DECODE)
     for _ in range(10):
         overtaken(policy, begun_call(policy, worker), 900.0, 0.0)
-    assert worker.rest.faults == 0 and worker.rest.length_ms == FIRST_REST_MS
-    assert policy.model.pace(Part.DECODE) == before
+    assert worker.ejection.failures == 0 and worker.ejection.next_duration_ms == MIN_EJECTION_MS
+    assert policy.model.pace(ServingPhase.DECODE) == before
     assert worker.unfinished == 0 and not worker.response_due_at
 
 
 def test_a_worker_silent_on_all_calls_is_spared_until_its_next_word():
     policy, worker = PairPolicy("a", Random(1)), WorkerTrack("w", "10.0.0.1:80", "a", "decode", 64)
     overtaken(policy, begun_call(policy, worker), 900.0, 0.0)
-    assert worker.resting(901.0) and not worker.resting(900.0 + FIRST_REST_MS)
+    assert worker.is_ejected(901.0) and not worker.is_ejected(900.0 + MIN_EJECTION_MS)
     overtaken(policy, begun_call(policy, worker), 3000.0, 0.0)
-    worker.heard(3010.0)
-    assert not worker.resting(3010.0)
+    worker.record_received(3010.0)
+    assert not worker.is_ejected(3010.0)
 
 
 def test_a_failure_counts_also_while_a_worker_is_suspected():
@@ -105,22 +118,24 @@
     worker.suspect(0.0)
     worker.record_failure(10.0)
     worker.record_failure(20.0)
-    worker.heard(30.0)
-    assert worker.resting(30.0), "a word refutes silence, not failures"
+    worker.record_received(30.0)
+    assert worker.is_ejected(30.0), "a word refutes silence, not failures"
 
 
 def test_a_worker_that_answers_others_is_not_spared_but_known_to_be_slow():
     policy, worker = PairPolicy("a", Random(1)), WorkerTrack("w", "10.0.0.1:80", "a", "decode", 64)
     step = begun_call(policy, worker)
-    worker.heard(500.0)
+    worker.record_received(500.0)
     overtaken(policy, step, 900.0, 0.0)
-    assert not worker.resting(901.0) and worker.pace[Part.DECODE] > 0
+    assert not worker.is_ejected(901.0) and worker.log_pace[ServingPhase.DECODE] > 0
 
 
 def test_a_worker_with_work_that_says_nothing_rests():
     policy, worker = PairPolicy("a", Random(1)), WorkerTrack("w", "10.0.0.1:80", "a", "decode", 64)
-    assert not worker.rests(5000.0, REST_MS), "nothing is asked of it"
+    assert not worker.is_unresponsive(5000.0, UNRESPONSIVE_MS), "nothing is asked of it"
     begun_call(policy, worker, 5000.0)
-    assert not worker.rests(5000.0 + REST_MS - 1, REST_MS) and worker.rests(5000.0 + REST_MS, REST_MS)
-    worker.heard(5600.0)
-    assert not worker.rests(5700.0, REST_MS)
+    assert not worker.is_unresponsive(
+        5000.0 + UNRESPONSIVE_MS - 1, UNRESPONSIVE_MS
+    ) and worker.is_unresponsive(5000.0 + UNRESPONSIVE_MS, UNRESPONSIVE_MS)
+    worker.record_received(5600.0)
+    assert not worker.is_unresponsive(5700.0, UNRESPONSIVE_MS)
--- a/tests/system/test_histories_of_attempts.py
+++ b/tests/system/test_histories_of_attempts.py
@@ -99,8 +99,8 @@
             await asyncio.sleep(0)
         assert not any(worker.unfinished for worker in track), "work is left behind"
     check(workers, route, budget, status, got, whole, took)
-    met["hedges"] += ingress.state.hedges("s").outcomes["begun"]
-    met["won"] += ingress.state.hedges("s").outcomes["won"]
+    met["hedges"] += ingress.state.hedge_gate("s").outcomes["begun"]
+    met["won"] += ingress.state.hedge_gate("s").outcomes["won"]
     met[f"{status}, {'whole' if whole else 'cut'}"] += 1
 
 
--- a/tests/system/test_overtaken_attempts.py
+++ b/tests/system/test_overtaken_attempts.py
@@ -28,7 +28,7 @@
 
 from molespur.system.data_plane.client_call import ClientCall
 from molespur.system.data_plane.client_request import ClientRequest, demand_of
-from molespur.system.data_plane.exchange_messages import AttemptProgress, AttemptSilent, Begin
+from molespur.system.data_plane.exchange_messages import AttemptProgressed, AttemptSilent, RequestReceived
 from molespur.system.data_plane.ingress import Ingress
 from molespur.system.data_plane.state import DataPlaneState
 from molespur.system.data_plane.upstream import Upstreams
@@ -128,13 +128,13 @@
     async def scenario():
         workers = [ScriptedWorker(f"w{n}", lambda _: [asyncio.Event()]) for n in range(2)]
         call, state = await _call(*workers)
-        call.report(Begin())
+        call.report(RequestReceived())
         call.report(AttemptSilent(1))
         tracks = state.usable_workers("s")
         assert [track.unfinished for track in tracks] == [1, 1]
         for _ in range(turns):
             await asyncio.sleep(0)
-        call.report(AttemptProgress(1))
+        call.report(AttemptProgressed(1))
         for _ in range(2 * turns):  # a call that has begun sees its cancellation in a turn of its own
             await asyncio.sleep(0)
         assert sum(track.unfinished for track in tracks) == 1
--- a/tests/system/test_own_work.py
+++ b/tests/system/test_own_work.py
@@ -14,7 +14,7 @@
 
 from molespur.system.data_plane.client_call import ClientCall
 from molespur.system.data_plane.client_request import ClientRequest, demand_of
-from molespur.system.data_plane.exchange_messages import Begin
+from molespur.system.data_plane.exchange_messages import RequestReceived
 from molespur.system.data_plane.ingress import Ingress
 from molespur.system.data_plane.state import DataPlaneState
 from molespur.system.data_plane.upstream import Upstreams
@@ -49,7 +49,7 @@
     async def scenario():
         track, calls = await _calls(REQUESTS)
         for call in calls:
-            call.report(Begin())
+            call.report(RequestReceived())
         assert track.unfinished == REQUESTS and len(track.response_due_at) == REQUESTS
         for call in calls:
             await call._end_calls()
--- a/tests/system/test_peer_work.py
+++ b/tests/system/test_peer_work.py
@@ -32,10 +32,10 @@
     a.record_placed(mine[1], (("part", 900.0),))
     for datagram in tell(a, mine, 0.0):
         b.receive(5.0, datagram)
-    b.settle(10.0, 5)
+    b.expire(10.0, 5)
     assert theirs[1].peer_running == 3 and theirs[1].peer_prefill_tokens[2] == 500.0
-    assert theirs[1].peer_scale == 4.0 and theirs[1].others(10.0) == 12.0
-    assert theirs[1].matched((("part", 900.0),)) == 900.0
+    assert theirs[1].peer_scale == 4.0 and theirs[1].other_requests(10.0) == 12.0
+    assert theirs[1].cached_tokens((("part", 900.0),)) == 900.0
     assert tell(a, mine, 20.0) == [], "nothing has changed"
     mine[1].unfinished, mine[1].prefill_tokens[2] = 0, 0.0
     for datagram in tell(a, mine, 40.0):
@@ -48,9 +48,9 @@
     mine[0].unfinished = 4
     for datagram in tell(a, mine, 0.0):
         b.receive(0.0, datagram)
-    b.settle(100.0, 2)
-    assert theirs[0].others(100.0) == 4
-    b.settle(5_000.0, 2)
+    b.expire(100.0, 2)
+    assert theirs[0].other_requests(100.0) == 4
+    b.expire(5_000.0, 2)
     assert theirs[0].peer_running == 0 and theirs[0].peer_scale == 0.0
 
 
@@ -71,7 +71,7 @@
 def test_a_restarted_peer_is_heard_again():
     (_, _), (b, theirs) = scheduler("a"), scheduler("b")
     b.receive(0.0, pb.PeerWork(node="a", sequence=900, whole=True).SerializeToString())
-    b.settle(4_000.0, 2)
+    b.expire(4_000.0, 2)
     fresh, mine = scheduler("a")
     mine[0].unfinished = 1
     b.receive(4_100.0, tell(fresh, mine, 0.0)[0])
--- a/tests/system/wire.py
+++ b/tests/system/wire.py
@@ -172,7 +172,7 @@
     ingress = Ingress(state, Upstreams(), clock, Freshness())
     if configuration is not None:
         tell(state, configuration, *workers)
-    state.count_schedulers(clock(), schedulers)
+    state.set_scheduler_count(clock(), schedulers)
     # a port that was free a moment ago may be another process's by now: this one is never let go
     listener = early_listener.listening("127.0.0.1:0")
     port = listener.getsockname()[1]
