--- a/molespur/system/data_plane/client_call.py
+++ b/molespur/system/data_plane/client_call.py
@@ -45,7 +45,7 @@
             route,
             demand,
             state.policy,
-            lambda: state.usable_workers(service.name),
+            lambda: state.listed_workers(service.name),
             lambda now: state.budget(service.name).spend(now),
             state.hedge_gate(service.name),
         )
--- a/molespur/system/data_plane/reports.py
+++ b/molespur/system/data_plane/reports.py
@@ -29,7 +29,7 @@
                 (service, track)
                 for service in self.state.services.values()
                 if service.engine is not None
-                for track in self.state.usable_workers(service.name)
+                for track in self.state.listed_workers(service.name)
                 if track.usable
             ]
             if targets:
--- a/molespur/system/data_plane/state.py
+++ b/molespur/system/data_plane/state.py
@@ -130,7 +130,7 @@
         """The limits on what clients may send."""
         return self.configuration.limits if self.configuration else Limits()
 
-    def usable_workers(self, service: str) -> list[WorkerTrack]:
+    def listed_workers(self, service: str) -> list[WorkerTrack]:
         """The workers of a service that the control plane lists."""
         return list(self.workers.get(service, {}).values())
 
@@ -153,7 +153,7 @@
         """The limit on this scheduler's hedges for a service."""
         gate = self.hedge_gates.get(service)
         if gate is None:
-            gate = self.hedge_gates[service] = HedgeGate(lambda: self.usable_workers(service))
+            gate = self.hedge_gates[service] = HedgeGate(lambda: self.listed_workers(service))
         return gate
 
     def meter(self, service: str) -> LoadMeter:
--- a/tests/system/test_data_plane_wire.py
+++ b/tests/system/test_data_plane_wire.py
@@ -345,7 +345,7 @@
             client.writer.close()
             while ingress.open_requests:
                 await asyncio.sleep(0)
-            assert ingress.state.usable_workers("s")[0].unfinished == 0
+            assert ingress.state.listed_workers("s")[0].unfinished == 0
 
     run(scenario())
 
--- a/tests/system/test_faults.py
+++ b/tests/system/test_faults.py
@@ -65,7 +65,7 @@
             if point is FaultPoint.AFTER_PREFILL:
                 faults.disarm()
                 await asyncio.wait_for(freed.wait(), 10)
-            tracks = ingress.state.usable_workers("s")
+            tracks = ingress.state.listed_workers("s")
             while ingress.open_requests:
                 await asyncio.sleep(0)
             assert [t.unfinished for t in tracks] == [0, 0] and not any(t.response_due_at for t in tracks)
--- a/tests/system/test_histories_of_attempts.py
+++ b/tests/system/test_histories_of_attempts.py
@@ -94,7 +94,7 @@
         except (asyncio.IncompleteReadError, ConnectionError) as error:
             raise AssertionError("neither an answer nor a refusal") from error
         took = clock() - began
-        track = ingress.state.usable_workers("s")
+        track = ingress.state.listed_workers("s")
         while ingress.open_requests:
             await asyncio.sleep(0)
         assert not any(worker.unfinished for worker in track), "work is left behind"
--- a/tests/system/test_overtaken_attempts.py
+++ b/tests/system/test_overtaken_attempts.py
@@ -130,7 +130,7 @@
         call, state = await _call(*workers)
         call.report(RequestReceived())
         call.report(AttemptSilent(1))
-        tracks = state.usable_workers("s")
+        tracks = state.listed_workers("s")
         assert [track.unfinished for track in tracks] == [1, 1]
         for _ in range(turns):
             await asyncio.sleep(0)
--- a/tests/system/test_own_work.py
+++ b/tests/system/test_own_work.py
@@ -42,7 +42,7 @@
         request = ClientRequest("POST", b"/p/x", "/p/x", "shop.example", headers, attempt, 5000.0)
         demand = demand_of(request, route, service, clock(), False)
         made.append(ClientCall(ingress, request, route, service, demand, _sent))
-    return state.usable_workers("s")[0], made
+    return state.listed_workers("s")[0], made
 
 
 def test_a_decision_counts_at_once():
