--- a/tests/system/test_old_configuration.py
+++ b/tests/system/test_old_configuration.py
@@ -31,7 +31,7 @@
             ingress.freshness = freshness
             if newer is not None:
                 state = pb.ConfigurationState(version=9, body=newer).SerializeToString()
-                freshness.comes = lambda: ingress.state.update(CONFIGURATION, False, state)
+                freshness.update = lambda: ingress.state.update(CONFIGURATION, False, state)
             client = await Client.connect(port)
             await client.send(sent)
             told.extend((await client.response())[:2])
--- a/tests/system/wire.py
+++ b/tests/system/wire.py
@@ -133,8 +133,8 @@
 class Freshness:
     """Stands for the feed: the configuration is fresh, or becomes so while somebody waits, or stays old."""
 
-    def __init__(self, fresh=True, comes=None):
-        self.fresh, self.comes, self.waited_s = fresh, comes, []
+    def __init__(self, fresh=True, update=None):
+        self.fresh, self.update, self.waited_s = fresh, update, []
 
     def may_refuse(self):
         return self.fresh
@@ -142,8 +142,8 @@
     async def wait_until_fresh(self, longest_s):
         if not self.fresh:
             self.waited_s.append(longest_s)
-            if self.comes is not None:
-                self.comes()
+            if self.update is not None:
+                self.update()
                 self.fresh = True
 
 
