--- a/tests/system/test_data_plane_wire.py
+++ b/tests/system/test_data_plane_wire.py
@@ -1,4 +1,4 @@
-"""The data plane on real sockets: unchanged bytes, broken answers, strays, handles, resumed streams."""
+"""The data plane on real sockets: unchanged bytes, broken and stray responses, handles, resumed streams."""
 
 import asyncio
 import json
@@ -12,6 +12,7 @@
     Freshness,
     ScriptedWorker,
     answer,
+    apply_first_state,
     chunk,
     clock,
     data_plane,
@@ -22,7 +23,6 @@
     run,
     settings,
     stream_head,
-    tell,
 )
 
 from molespur.system import early_listener
@@ -44,7 +44,7 @@
     return lambda request: [stream_head(request), *parts]
 
 
-def test_what_goes_on_and_what_comes_back_is_unchanged():
+def test_requests_and_responses_are_forwarded_unchanged():
     async def scenario():
         worker = ScriptedWorker(
             "w", lambda r: answer(r, b"\x00body\xff", extra=b"X-Own: Yes\r\nKeep-Alive: timeout=5\r\n")
@@ -54,8 +54,8 @@
             await client.send(
                 request(b"/p/a%2Fb/../c?q=%20&x=%zz", body=b"\x01\x02", extra=b"X-Mixed-Case: v  w\r\n")
             )
-            status, head, body, whole = await client.response()
-            assert (status, body, whole) == (200, b"\x00body\xff", True)
+            status, head, body, complete = await client.response()
+            assert (status, body, complete) == (200, b"\x00body\xff", True)
             assert header(head, b"X-Own") == b"Yes" and header(head, b"Molespur-Server-Stamp") == b"s.1"
             assert header(head, b"Keep-Alive") is None
             sent = worker.requests[0]
@@ -69,12 +69,12 @@
             )
             await client.send(request(attempt=b"a2"))
             assert (await client.response())[0] == 200
-            assert worker.connections == 1, "kept connections are used again"
+            assert worker.connections == 1, "the idle connection is reused"
 
     run(scenario())
 
 
-def test_a_request_just_after_a_start_waits_for_the_first_state():
+def test_a_request_just_after_the_start_waits_for_the_first_state():
     async def scenario():
         worker = ScriptedWorker("w", answer)
         async with data_plane(None, worker) as (port, ingress):
@@ -82,24 +82,24 @@
             await client.send(request())
             while not ingress.open_requests:
                 await asyncio.sleep(0)
-            tell(ingress.state, configuration(), worker)
+            apply_first_state(ingress.state, configuration(), worker)
             assert (await client.response())[0] == 200
 
     run(scenario())
 
 
-def test_a_request_that_no_state_comes_for_is_told_when_to_come_back():
+def test_a_request_that_gets_no_state_in_time_gets_a_retry_after():
     async def scenario():
         async with data_plane(None) as (port, _):
             client = await Client.connect(port)
             await client.send(request(deadline=8))
-            status, head, _body, _whole = await client.response()
+            status, head, _body, _complete = await client.response()
             assert status == 503 and float(header(head, b"Retry-After")) > 0
 
     run(scenario())
 
 
-def test_clients_can_connect_before_the_server_is_there(tmp_path):
+def test_clients_can_connect_before_the_server_has_started(tmp_path):
     async def scenario():
         with socket.create_server(("127.0.0.1", 0)) as probe:
             port = probe.getsockname()[1]
@@ -110,7 +110,7 @@
         state = DataPlaneState(settings(), Random(1))
         worker = ScriptedWorker("w", answer)
         await worker.start()
-        tell(state, configuration(), worker)
+        apply_first_state(state, configuration(), worker)
         stop = asyncio.Event()
         server = ClientServer(
             IngressApp(Ingress(state, Upstreams(), clock, Freshness())), lambda: state.limits
@@ -124,14 +124,14 @@
 
 
 @pytest.mark.parametrize("text", ["", "- a list", "Listen: {}", "Listen: {Frontend: 7}", "Listen: [", "a: b"])
-def test_a_settings_file_that_names_no_listener_opens_none(tmp_path, text):
+def test_a_settings_file_without_a_listener_opens_none(tmp_path, text):
     (tmp_path / "boot.yaml").write_text(text)
     early_listener.open_early(str(tmp_path / "boot.yaml"), "Frontend")
     early_listener.open_early(str(tmp_path / "missing.yaml"), "Frontend")
     assert early_listener.take("7") is None
 
 
-def test_a_chunked_request_arrives_whole():
+def test_a_chunked_request_arrives_completely():
     async def scenario():
         worker = ScriptedWorker("w", answer)
         async with data_plane(configuration(), worker) as (port, _):
@@ -160,7 +160,7 @@
     ],
     ids=["closed", "cut", "garbage", "stray", "no stamp", "encoded", "no promise", "no framing"],
 )
-def test_what_may_have_run_gets_no_promise_and_no_made_up_answer(script):
+def test_a_request_that_may_have_run_gets_a_502_and_is_not_repeated(script):
     async def scenario():
         worker = ScriptedWorker("w", script)
         async with data_plane(configuration(), worker) as (port, _):
@@ -173,7 +173,7 @@
     run(scenario())
 
 
-def test_a_workers_own_failure_goes_back_as_it_is():
+def test_an_error_response_of_a_worker_is_forwarded_unchanged():
     async def scenario():
         worker = ScriptedWorker("w", lambda r: answer(r, b"sorry", b"500 Internal Server Error"))
         async with data_plane(configuration(), worker) as (port, _):
@@ -194,7 +194,7 @@
             await client.send(request())
             status, head, _, _ = await client.response()
             assert status == 503 and float(header(head, b"Retry-After")) > 0, (
-                "both said that they did not run it"
+                "both workers replied that they did not run it"
             )
             await client.send(request(attempt=b"a2"))
             assert (await client.response())[0] == 200
@@ -202,7 +202,7 @@
     run(scenario())
 
 
-def test_a_second_answer_on_a_kept_connection_belongs_to_nobody():
+def test_an_unrequested_second_response_on_a_connection_is_discarded():
     async def scenario():
         worker = ScriptedWorker("w", lambda r: answer(r) + answer(r, b"stray"), answer)
         async with data_plane(configuration(), worker) as (port, _):
@@ -216,7 +216,7 @@
     run(scenario())
 
 
-def test_events_go_on_as_they_come_and_a_part_of_one_does_not():
+def test_complete_events_are_forwarded_at_once_and_partial_ones_are_not():
     async def scenario():
         held = asyncio.Event()
         worker = ScriptedWorker(
@@ -235,19 +235,19 @@
     run(scenario())
 
 
-def test_a_stream_cut_in_mid_event_does_not_look_whole():
+def test_a_stream_truncated_within_an_event_does_not_look_complete():
     async def scenario():
         worker = ScriptedWorker("w", stream(chunk(event(1) + b"id: 2\nda"), None))
         async with data_plane(configuration("streaming"), worker) as (port, _):
             client = await Client.connect(port)
             await client.send(request())
-            _, _, body, whole = await client.response()
-            assert body == event(1) and not whole
+            _, _, body, complete = await client.response()
+            assert body == event(1) and not complete
 
     run(scenario())
 
 
-def test_a_resumable_stream_goes_on_at_another_worker_inside_one_answer():
+def test_a_resumable_stream_continues_at_another_worker_within_one_response():
     async def scenario():
         def rest(request):
             after = int(header(request, b"Last-Event-Id"))
@@ -270,9 +270,11 @@
             ingress.state.budget("s").minimum = 50.0
             client = await Client.connect(port)
             await client.send(request())
-            _, head, body, whole = await client.response()
-            assert whole and body == b"".join(event(n) for n in range(1, 6))
-            assert header(head, b"Molespur-Server-Stamp") == b"s.1", "head and stamp are the first worker's"
+            _, head, body, complete = await client.response()
+            assert complete and body == b"".join(event(n) for n in range(1, 6))
+            assert header(head, b"Molespur-Server-Stamp") == b"s.1", (
+                "head and stamp come from the first worker"
+            )
             assert sorted(len(w.requests) for w in workers) == [1, 1]
 
     run(scenario())
@@ -286,62 +288,72 @@
     return answer(request, body, extra=b"Content-Type: application/json\r\n", stamp=False)
 
 
-def test_a_pair_reads_apart_and_hands_the_memory_over():
+def test_a_pair_separates_prefill_and_decode_and_hands_the_kv_cache_over():
     async def scenario():
-        reader = ScriptedWorker("p", prefill, phase="prefill")
-        runner = ScriptedWorker("d", stream(chunk(event(1)), LAST_CHUNK), phase="decode")
-        async with data_plane(configuration("streaming", engine=True), reader, runner) as (port, _):
+        prefill_worker = ScriptedWorker("p", prefill, phase="prefill")
+        decode_worker = ScriptedWorker("d", stream(chunk(event(1)), LAST_CHUNK), phase="decode")
+        async with data_plane(configuration("streaming", engine=True), prefill_worker, decode_worker) as (
+            port,
+            _,
+        ):
             client = await Client.connect(port)
             await client.send(request(extra=PROMPT, body=b"prompt"))
-            status, _, body, whole = await client.response()
-            assert (status, body, whole) == (200, event(1), True)
-            assert header(reader.requests[0], b"Molespur-Serving-Phase") == b"prefill"
-            assert header(runner.requests[0], b"Kv-From") == reader.address.encode() + b"/3fa09c"
-            assert reader.requests[0].endswith(b"prompt") and runner.requests[0].endswith(b"prompt")
-            assert header(reader.requests[0], b"Priority") is not None
+            status, _, body, complete = await client.response()
+            assert (status, body, complete) == (200, event(1), True)
+            assert header(prefill_worker.requests[0], b"Molespur-Serving-Phase") == b"prefill"
+            assert (
+                header(decode_worker.requests[0], b"Kv-From") == prefill_worker.address.encode() + b"/3fa09c"
+            )
+            assert prefill_worker.requests[0].endswith(b"prompt") and decode_worker.requests[0].endswith(
+                b"prompt"
+            )
+            assert header(prefill_worker.requests[0], b"Priority") is not None
 
     run(scenario())
 
 
-def test_memory_that_nobody_takes_is_given_back_when_the_client_leaves():
+def test_a_kv_cache_that_no_worker_takes_is_freed_when_the_client_disconnects():
     async def scenario():
-        freed, asked = asyncio.Event(), asyncio.Event()
+        freed, requested = asyncio.Event(), asyncio.Event()
 
-        def read_or_free(request):
+        def prefill_or_free(request):
             if request.startswith(b"DELETE /api/kv-handle/3fa09c "):
                 freed.set()
                 return answer(request, stamp=False)
             return prefill(request)
 
         def hang(request):
-            asked.set()
+            requested.set()
             return [asyncio.Event()]
 
-        reader = ScriptedWorker("p", read_or_free, phase="prefill")
-        runner = ScriptedWorker("d", hang, phase="decode")
-        async with data_plane(configuration("streaming", engine=True), reader, runner) as (port, _):
+        prefill_worker = ScriptedWorker("p", prefill_or_free, phase="prefill")
+        decode_worker = ScriptedWorker("d", hang, phase="decode")
+        async with data_plane(configuration("streaming", engine=True), prefill_worker, decode_worker) as (
+            port,
+            _,
+        ):
             client = await Client.connect(port)
             await client.send(request(extra=PROMPT))
-            await asked.wait()
+            await requested.wait()
             client.writer.close()
             await asyncio.wait_for(freed.wait(), 10)
 
     run(scenario())
 
 
-def test_a_client_that_leaves_frees_its_worker_at_once():
+def test_a_disconnected_client_frees_its_worker_at_once():
     async def scenario():
-        asked = asyncio.Event()
+        requested = asyncio.Event()
 
         def hang(request):
-            asked.set()
+            requested.set()
             return [asyncio.Event()]
 
         worker = ScriptedWorker("w", hang)
         async with data_plane(configuration(), worker) as (port, ingress):
             client = await Client.connect(port)
             await client.send(request())
-            await asked.wait()
+            await requested.wait()
             client.writer.close()
             while ingress.open_requests:
                 await asyncio.sleep(0)
@@ -362,7 +374,7 @@
     ],
     ids=["no route", "no attempt id", "malformed", "long headers", "very long headers", "long body"],
 )
-def test_requests_that_make_no_sense_get_a_4xx(sent, status):
+def test_invalid_requests_get_a_4xx(sent, status):
     async def scenario():
         worker = ScriptedWorker("w", answer)
         async with data_plane(configuration(), worker) as (port, _):
@@ -374,7 +386,7 @@
     run(scenario())
 
 
-def test_without_a_configuration_the_answer_is_503_never_404():
+def test_without_a_configuration_the_response_is_503_never_404():
     async def scenario():
         worker = ScriptedWorker("w", answer)
         async with data_plane(configuration(), worker) as (port, ingress):
@@ -387,7 +399,7 @@
     run(scenario())
 
 
-def test_a_stalled_stream_that_may_be_resumed_goes_on_elsewhere(monkeypatch):
+def test_a_stalled_resumable_stream_continues_at_another_worker(monkeypatch):
     monkeypatch.setattr("molespur.system.data_plane.worker_call.MIN_STREAM_SILENCE_MS", 30.0)
 
     async def scenario():
@@ -404,21 +416,21 @@
             ingress.state.budget("s").minimum = 50.0
             client = await Client.connect(port)
             await client.send(request())
-            _, _, body, whole = await client.response()
-            assert whole and body == event(1) + event(2)
+            _, _, body, complete = await client.response()
+            assert complete and body == event(1) + event(2)
 
     run(scenario())
 
 
-def test_a_worker_that_says_nothing_is_given_up_only_where_that_is_harmless(monkeypatch):
+def test_a_silent_worker_gets_a_hedge_only_for_repeatable_requests(monkeypatch):
     monkeypatch.setattr("molespur.system.data_plane.worker_call.RUN_SILENCE", (0.0, 30.0))
 
     async def scenario(kind, expected):
-        first = []
+        received = []
 
         def hang_once(request):
-            first.append(request)
-            return [asyncio.Event()] if len(first) == 1 else answer(request)
+            received.append(request)
+            return [asyncio.Event()] if len(received) == 1 else answer(request)
 
         workers = ScriptedWorker("w", hang_once), ScriptedWorker("v", hang_once)
         async with data_plane(configuration(kind, MaxAttempts=2, TimeoutMs=400), *workers) as (port, ingress):
@@ -426,13 +438,13 @@
             client = await Client.connect(port)
             await client.send(request())
             assert (await client.response())[0] == expected
-            assert len(first) == (2 if kind == "idempotent" else 1)
+            assert len(received) == (2 if kind == "idempotent" else 1)
 
     run(scenario("idempotent", 200))
     run(scenario("non_idempotent", 504))
 
 
-def test_a_success_for_a_client_needs_the_workers_stamp_even_as_json():
+def test_a_success_needs_the_workers_stamp_even_as_json():
     async def scenario():
         worker = ScriptedWorker(
             "w", lambda r: answer(r, b"{}", extra=b"Content-Type: application/json\r\n", stamp=False)
--- a/tests/system/test_overtaken_attempts.py
+++ b/tests/system/test_overtaken_attempts.py
@@ -1,7 +1,7 @@
-"""What an attempt leaves behind that another one has overtaken: no work on the books, no memory held.
+"""An attempt that another one has overtaken leaves no own work and no held KV cache behind.
 
-Prompt memory that waits to be taken is room that other requests need: at a worker nine tenths of whose blocks
-are in use it is given back when its attempt is overtaken, not at the end of the answer, seconds later.
+A KV cache that waits to be taken occupies blocks that other requests need.  At a worker with nine tenths of
+its blocks in use it has to be freed when its attempt is overtaken, not seconds later when the response ends.
 """
 
 import asyncio
@@ -16,6 +16,7 @@
     Freshness,
     ScriptedWorker,
     answer,
+    apply_first_state,
     chunk,
     data_plane,
     event,
@@ -23,7 +24,6 @@
     request,
     settings,
     stream_head,
-    tell,
 )
 
 from molespur.system.data_plane.client_call import ClientCall
@@ -34,23 +34,23 @@
 from molespur.system.data_plane.upstream import Upstreams
 
 PROMPT = b"Molespur-Model: m\r\nMolespur-Token-Usage: 9000,9\r\nMolespur-Prompt-Prefix: aa:6000,bb:3000\r\n"
-PATIENCE_S = 20.0
+TIMEOUT_S = 20.0
 
 
 def configuration(engine, **route):
-    made = {"Name": "r", "Host": "shop.example", "PathPrefix": "/p/", "Service": "s", "MaxAttempts": 2}
-    made.update({"TimeoutMs": 8000, "TargetLatencyMs": 3000, "gap_aim_ms": 300, **route})
+    route_body = {"Name": "r", "Host": "shop.example", "PathPrefix": "/p/", "Service": "s", "MaxAttempts": 2}
+    route_body.update({"TimeoutMs": 8000, "TargetLatencyMs": 3000, "gap_aim_ms": 300, **route})
     service = {"Name": "s", "MaxConnections": 50}
     if engine:
         service["Engine"] = {"Capacity": 8, "KvCapacityTokens": 100_000, "KvTokenBytes": 18_432}
-    return json.dumps({"Version": 1, "Routes": [made], "Services": [service]}).encode()
+    return json.dumps({"Version": 1, "Routes": [route_body], "Services": [service]}).encode()
 
 
-class Readers:
-    """Workers that read prompts apart; each handle names its worker, and what is given back is noted."""
+class PrefillWorkers:
+    """Prefill workers; each handle contains the number of its worker, and freed handles are recorded."""
 
     def __init__(self, count):
-        self.given, self.freed = [], {}
+        self.handles, self.freed = [], {}
         self.workers = [ScriptedWorker(f"p{n}", self._script(n), phase="prefill") for n in range(count)]
 
     def _script(self, number):
@@ -59,33 +59,35 @@
                 handle = received.split(b" ")[1].rpartition(b"/")[2].decode()
                 self.freed.setdefault(handle, asyncio.Event()).set()
                 return answer(received, stamp=False)
-            handle = f"{number:02x}{len(self.given):04x}"
-            self.given.append(handle)
+            handle = f"{number:02x}{len(self.handles):04x}"
+            self.handles.append(handle)
             body = json.dumps({"PrefillHandle": handle, "Tokens": 9000, "Version": 1}).encode()
             return answer(received, body, stamp=False)
 
         return script
 
     async def wait_until_freed(self, handle):
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             await self.freed.setdefault(handle, asyncio.Event()).wait()
 
 
-def test_memory_of_an_overtaken_attempt_is_given_back_while_the_answer_goes_on():
-    """The first worker that is to give the answer rests; the second one has begun, and is not done yet."""
+def test_the_kv_cache_of_an_overtaken_attempt_is_freed_before_the_response_ends():
+    """The first decode worker stalls; the second one has started its response and not completed it."""
 
     async def scenario():
-        readers, go_on, runs = Readers(1), asyncio.Event(), []
+        prefill_workers, may_continue, runs = PrefillWorkers(1), asyncio.Event(), []
 
         def run(received):
             runs.append((header(received, b"Kv-From") or b"").rpartition(b"/")[2].decode())
             if len(runs) == 1:
                 return [asyncio.Event()]
-            return [stream_head(received), chunk(event(1)), go_on, chunk(event(2)), LAST_CHUNK]
+            return [stream_head(received), chunk(event(1)), may_continue, chunk(event(2)), LAST_CHUNK]
 
-        runners = [ScriptedWorker(f"d{n}", run, phase="decode") for n in range(2)]
+        decode_workers = [ScriptedWorker(f"d{n}", run, phase="decode") for n in range(2)]
         body = configuration(True, Type="streaming", Resumable=True)
-        async with data_plane(body, *readers.workers, *runners, clock=clock, retry_budget_min=100.0) as (
+        async with data_plane(
+            body, *prefill_workers.workers, *decode_workers, clock=clock, retry_budget_min=100.0
+        ) as (
             port,
             _,
         ):
@@ -93,49 +95,49 @@
             await client.send(request(extra=PROMPT, deadline=8000))
             head = await client.head()
             assert head.startswith(b"HTTP/1.1 200") and len(runs) == 2 and runs[0]
-            await readers.wait_until_freed(runs[0])
-            assert not go_on.is_set(), "it was given back while the answer went on"
-            go_on.set()
-            async with asyncio.timeout(PATIENCE_S):
+            await prefill_workers.wait_until_freed(runs[0])
+            assert not may_continue.is_set(), "it was freed before the response ended"
+            may_continue.set()
+            async with asyncio.timeout(TIMEOUT_S):
                 rest = await client.reader.readuntil(b"0\r\n\r\n")
-            assert event(2) in rest and runs[1] not in readers.freed
+            assert event(2) in rest and runs[1] not in prefill_workers.freed
 
     run_virtual(scenario())
 
 
-async def _call(*workers):
-    """The call of one request that may be repeated, and its data plane's state."""
+async def _client_call(*workers):
+    """The client call of one repeatable request, and its data plane's state."""
     for worker in workers:
         await worker.start()
     state = DataPlaneState(settings(retry_budget_min=100.0), Random(1))
-    tell(state, configuration(False, Type="idempotent"), *workers)
+    apply_first_state(state, configuration(False, Type="idempotent"), *workers)
     ingress = Ingress(state, Upstreams(), clock, Freshness())
     route, service = state.routes.find("shop.example", "/p/x"), state.services["s"]
     headers = [(b"Host", b"shop.example"), (b"Molespur-Attempt-Id", b"a"), (b"Content-Length", b"0")]
-    came = ClientRequest("POST", b"/p/x", "/p/x", "shop.example", headers, b"a", 5000.0)
-    demand = demand_of(came, route, service, clock(), False)
+    client_request = ClientRequest("POST", b"/p/x", "/p/x", "shop.example", headers, b"a", 5000.0)
+    demand = demand_of(client_request, route, service, clock(), False)
 
     async def sent(_message):
-        """Where answers go."""
+        """Discards the response."""
 
-    return ClientCall(ingress, came, route, service, demand, sent), state
+    return ClientCall(ingress, client_request, route, service, demand, sent), state
 
 
-@pytest.mark.parametrize("turns", (0, 1, 2, 5))
-def test_a_second_attempt_that_is_overtaken_at_once_leaves_no_work_behind(turns):
-    """Without a turn in between, its task ends before the first line of it has run."""
+@pytest.mark.parametrize("iterations", (0, 1, 2, 5))
+def test_a_second_attempt_that_is_overtaken_at_once_leaves_no_work_behind(iterations):
+    """Without a loop iteration in between, its task is cancelled before its first line has run."""
 
     async def scenario():
         workers = [ScriptedWorker(f"w{n}", lambda _: [asyncio.Event()]) for n in range(2)]
-        call, state = await _call(*workers)
+        call, state = await _client_call(*workers)
         call.report(RequestReceived())
         call.report(AttemptSilent(1))
         tracks = state.listed_workers("s")
         assert [track.unfinished for track in tracks] == [1, 1]
-        for _ in range(turns):
+        for _ in range(iterations):
             await asyncio.sleep(0)
         call.report(AttemptProgressed(1))
-        for _ in range(2 * turns):  # a call that has begun sees its cancellation in a turn of its own
+        for _ in range(2 * iterations):  # a started call handles its cancellation in another iteration
             await asyncio.sleep(0)
         assert sum(track.unfinished for track in tracks) == 1
         await call._end_calls()
--- a/tests/system/wire.py
+++ b/tests/system/wire.py
@@ -1,4 +1,4 @@
-"""A data plane on loopback sockets: scripted workers and raw clients; nothing waits for time to pass."""
+"""A data plane on loopback sockets with scripted workers and raw clients; nothing waits for real time."""
 
 import asyncio
 import time
@@ -14,7 +14,7 @@
 from molespur.system.settings.process import Bounds, ProcessSettings
 from molespur.system.shards.placement import CONFIGURATION
 
-PATIENCE_S = 10.0
+TIMEOUT_S = 10.0
 
 
 def clock():
@@ -22,11 +22,11 @@
 
 
 class ScriptedWorker:
-    """Answers each request by the next script: a function of the request that gives bytes, None to close.
+    """Responds to each request by the next script; the last script serves all later requests.
 
-    Among the parts of an answer an event is waited for, and a float is a rest in seconds of the loop's time.
-
-    The last script stands for all later requests.
+    A script is a function of the request.  It returns the bytes of the response, or None to close the
+    connection, or a list of parts.  A part is bytes to send, None to close the connection, an event to wait
+    for, or a float: a pause in seconds on the loop's clock.
     """
 
     def __init__(self, name, *scripts, phase=""):
@@ -79,7 +79,7 @@
 
 
 def answer(request, body=b"fine", status=b"200 OK", extra=b"", stamp=True):
-    """A worker's whole answer."""
+    """A worker's complete response."""
     stamped = b"Molespur-Server-Stamp: s.1\r\n" if stamp else b""
     attempt = header(request, b"Molespur-Attempt-Id")
     return (
@@ -116,22 +116,25 @@
     return ProcessSettings(node, "127.0.0.1", "a", (1, 2), ("127.0.0.1:3",), bounds=Bounds(**bounds))
 
 
-def tell(state, configuration, *workers):
-    """Give a data plane the first state that the feed tells: a configuration, and workers of service `s`."""
-    told = pb.ConfigurationState(version=1, body=configuration).SerializeToString()
-    state.update(CONFIGURATION, True, told)
-    known = [
+def apply_first_state(state, configuration, *workers):
+    """Apply the first updates of the feed to a data plane: a configuration, and workers of service `s`."""
+    payload = pb.ConfigurationState(version=1, body=configuration).SerializeToString()
+    state.update(CONFIGURATION, True, payload)
+    records = [
         pb.Worker(
             id=w.name, service="s", address=w.address, zone="a", capacity=8, phase=w.phase, state=pb.READY
         )
         for w in workers
     ]
-    state.update("workers-0", True, pb.WorkerSet(workers=known).SerializeToString())
+    state.update("workers-0", True, pb.WorkerSet(workers=records).SerializeToString())
     state.update("workers-1", True, b"")
 
 
 class Freshness:
-    """Stands for the feed: the configuration is fresh, or becomes so while somebody waits, or stays old."""
+    """Replaces the feed: the configuration is fresh, or becomes so during a wait, or stays old.
+
+    `update`: called during the first wait, after which the configuration is fresh.
+    """
 
     def __init__(self, fresh=True, update=None):
         self.fresh, self.update, self.waited_s = fresh, update, []
@@ -149,10 +152,10 @@
 
 @asynccontextmanager
 async def data_plane(configuration, *workers, clock=clock, **bounds):
-    """An ingress with these workers of service `s`; gives the port that clients reach.
+    """Start these workers of service `s` and an ingress; yields its port for clients, and itself.
 
-    Without a configuration nothing is told to it yet.  `clock`: ms; real time where it is left out.
-    `bounds`: those that differ from the defaults.
+    Without a configuration the ingress gets no state yet.  `clock`: ms, by default real time.  `bounds`:
+    those that differ from the defaults.
     """
     for worker in workers:
         await worker.start()
@@ -166,14 +169,14 @@
 
 @asynccontextmanager
 async def scheduler(configuration, *workers, clock=clock, node="edge-1", schedulers=1, **bounds):
-    """An ingress before workers that have been started; gives the port that clients reach, and itself."""
+    """Start an ingress for started workers; yields the port for clients, and the ingress."""
     state = DataPlaneState(settings(node, **bounds), Random(node if node != "edge-1" else 1))
     state.schedulers = schedulers
     ingress = Ingress(state, Upstreams(), clock, Freshness())
     if configuration is not None:
-        tell(state, configuration, *workers)
+        apply_first_state(state, configuration, *workers)
     state.set_scheduler_count(clock(), schedulers)
-    # a port that was free a moment ago may be another process's by now: this one is never let go
+    # keep the listener open: another process could take a port that is closed and opened again
     listener = early_listener.listening("127.0.0.1:0")
     port = listener.getsockname()[1]
     early_listener._opened[f"127.0.0.1:{port}"] = listener
@@ -202,10 +205,10 @@
         await self.writer.drain()
 
     async def head(self):
-        return await asyncio.wait_for(self.reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
+        return await asyncio.wait_for(self.reader.readuntil(b"\r\n\r\n"), TIMEOUT_S)
 
     async def response(self):
-        """(status, head, body, whole): whole tells whether the answer ended as it should."""
+        """(status, head, body, complete): complete is False if the response ended before its end."""
         head = await self.head()
         status = int(head.split(b" ", 2)[1])
         length = header(head, b"Content-Length")
@@ -213,14 +216,14 @@
             return (
                 status,
                 head,
-                await asyncio.wait_for(self.reader.readexactly(int(length)), PATIENCE_S),
+                await asyncio.wait_for(self.reader.readexactly(int(length)), TIMEOUT_S),
                 True,
             )
         body = bytearray()
         while True:
             try:
-                size = int(await asyncio.wait_for(self.reader.readuntil(b"\r\n"), PATIENCE_S), 16)
-                data = await asyncio.wait_for(self.reader.readexactly(size + 2), PATIENCE_S)
+                size = int(await asyncio.wait_for(self.reader.readuntil(b"\r\n"), TIMEOUT_S), 16)
+                data = await asyncio.wait_for(self.reader.readexactly(size + 2), TIMEOUT_S)
             except (asyncio.IncompleteReadError, ConnectionError):
                 return status, head, bytes(body), False
             if size == 0:
@@ -228,9 +231,9 @@
             body += data[:-2]
 
     async def closed(self):
-        """Whether the connection ends without another byte."""
+        """Whether the connection ends without further bytes."""
         try:
-            return await asyncio.wait_for(self.reader.read(), PATIENCE_S) == b""
+            return await asyncio.wait_for(self.reader.read(), TIMEOUT_S) == b""
         except ConnectionError:
             return True
 
@@ -243,7 +246,7 @@
 
 
 def run(coroutine):
-    """Run a test's coroutine with a bound on its time."""
+    """Run a test's coroutine with a timeout."""
 
     async def bounded():
         async with asyncio.timeout(30):
