--- a/tests/system/test_pair_policy.py
+++ b/tests/system/test_pair_policy.py
@@ -1,4 +1,4 @@
-"""The choice of a pair: what is forecast, what is preferred, and what earlier faults of it taught."""
+"""The selection of a prefill and a decode worker: forecasts, preferences, and earlier faults."""
 
 from random import Random
 
@@ -33,68 +33,68 @@
     return Demand("r", now + aim, now + 3000.0, ENGINE, tokens, parts, **more)
 
 
-def choices(policy, workers, asked, count=200, now=0.0):
-    return [policy.choose(now, workers, asked).plan for _ in range(count)]
+def plans_of(policy, workers, request, count=200, now=0.0):
+    return [policy.choose(now, workers, request).plan for _ in range(count)]
 
 
-def test_a_long_prompt_is_read_apart_mostly_at_the_home_of_its_prefix():
-    plans = choices(PairPolicy("a", Random(1)), fleet(), demand(LONG))
+def test_a_long_prompt_gets_a_separate_prefill_mostly_at_its_preferred_worker():
+    plans = plans_of(PairPolicy("a", Random(1)), fleet(), demand(LONG))
     assert all(plan.prefill_step is not None for plan in plans)
-    homes = [plan.prefill_step.worker.id for plan in plans]
-    assert max(homes.count(name) for name in set(homes)) > 180
+    names = [plan.prefill_step.worker.id for plan in plans]
+    assert max(names.count(name) for name in set(names)) > 180
 
 
-def test_all_schedulers_have_the_same_home_for_a_prefix():
-    homes = set()
+def test_all_schedulers_prefer_the_same_worker_for_a_prefix():
+    preferred = set()
     for seed in range(8):
-        plans = choices(PairPolicy("a", Random(seed)), fleet(), demand(LONG), 20)
+        plans = plans_of(PairPolicy("a", Random(seed)), fleet(), demand(LONG), 20)
         names = [plan.prefill_step.worker.id for plan in plans]
-        homes.add(max(set(names), key=names.count))
-    assert len(homes) == 1
+        preferred.add(max(set(names), key=names.count))
+    assert len(preferred) == 1
 
 
-def test_a_short_prompt_goes_to_an_idle_decode_worker_and_not_to_a_busy_home():
+def test_a_short_prompt_goes_to_an_idle_decode_worker_and_not_to_a_busy_preferred_one():
     policy, workers = PairPolicy("a", Random(2)), fleet()
     for track in workers[:4]:
         track.prefill_tokens[1] = 8_000.0
-    plans = choices(policy, workers, demand(SHORT))
+    plans = plans_of(policy, workers, demand(SHORT))
     assert sum(plan.prefill_step is None for plan in plans) > 180
 
 
-def test_a_long_read_does_not_hold_up_a_decode_worker_while_readers_are_there():
+def test_a_long_prefill_does_not_stall_a_decode_worker_while_there_are_prefill_workers():
     policy, workers = PairPolicy("a", Random(3)), fleet()
     for track in workers[:4]:
         track.prefill_tokens[1] = 20_000.0
-    assert all(plan.prefill_step is not None for plan in choices(policy, workers, demand(LONG)))
+    assert all(plan.prefill_step is not None for plan in plans_of(policy, workers, demand(LONG)))
     assert all(
         plan.response_step.phase is ServingPhase.DIRECT
-        for plan in choices(policy, workers[4:], demand(LONG), 20)
+        for plan in plans_of(policy, workers[4:], demand(LONG), 20)
     )
 
 
-def test_a_running_stream_does_not_make_its_worker_look_late():
+def test_a_running_stream_does_not_count_as_an_overdue_response():
     policy, workers = PairPolicy("a", Random(4)), fleet()
-    asked = demand(SHORT)
-    plan = next(w for w in choices(policy, workers, asked) if w.prefill_step is None)
-    policy.record_sent(0.0, plan.response_step, asked, 1)
-    policy.record_first_response(40.0, plan.response_step, asked, 1, 40.0)
+    request = demand(SHORT)
+    plan = next(w for w in plans_of(policy, workers, request) if w.prefill_step is None)
+    policy.record_sent(0.0, plan.response_step, request, 1)
+    policy.record_first_response(40.0, plan.response_step, request, 1, 40.0)
     track = plan.response_step.worker
     assert track.overdue_ms(5_000.0) == 0.0 and track.unfinished == 1
     policy.record_ended(5_000.0, plan.response_step, 1)
     assert track.unfinished == 0 and track.total_prefill_tokens == 0.0
 
 
-def test_a_worker_that_gives_no_answer_looks_late_and_is_avoided():
+def test_a_worker_with_an_overdue_response_is_avoided():
     policy, workers = PairPolicy("a", Random(5)), fleet()
-    asked = demand(SHORT)
-    plan = next(w for w in choices(policy, workers, asked) if w.prefill_step is None)
-    policy.record_sent(0.0, plan.response_step, asked, 1)
+    request = demand(SHORT)
+    plan = next(w for w in plans_of(policy, workers, request) if w.prefill_step is None)
+    policy.record_sent(0.0, plan.response_step, request, 1)
     later = demand(SHORT, 2_000.0)
     chosen = [policy.choose(2_000.0, workers, later).plan.response_step.worker.id for _ in range(100)]
     assert plan.response_step.worker.id not in chosen
 
 
-def test_reports_of_others_count_and_fade():
+def test_reported_requests_of_other_schedulers_count_less_with_age():
     track = worker("d", "decode")
     track.report = LoadReport(0.0, active=20, queued=5)
     track.unfinished = 5
@@ -102,13 +102,13 @@
     assert 0 < track.other_requests(5_000.0) < 10.0
 
 
-def test_repeated_failures_let_a_worker_rest_and_a_whole_fleet_does_not_rest():
+def test_repeated_failures_eject_a_worker_but_not_a_whole_fleet():
     policy, workers = PairPolicy("a", Random(6)), fleet()
     bad = workers[4]
     for _ in range(3):
         bad.record_failure(0.0)
     assert bad.is_ejected(10.0) and not bad.is_ejected(3_000.0)
-    plans = choices(policy, workers, demand(SHORT))
+    plans = plans_of(policy, workers, demand(SHORT))
     assert all(plan.response_step.worker is not bad for plan in plans)
     for track in workers:
         for _ in range(3):
@@ -116,32 +116,36 @@
     assert policy.choose(10.0, workers, demand(SHORT)) is not None
 
 
-def test_a_worker_silent_to_control_is_used_only_if_it_served_lately():
+def test_a_worker_silent_to_the_control_plane_is_used_only_if_it_served_recently():
     policy, workers = PairPolicy("a", Random(7)), fleet()
-    quiet = workers[4]
-    quiet.silent = True
-    assert all(plan.response_step.worker is not quiet for plan in choices(policy, workers, demand(SHORT)))
-    quiet.last_received_at = -100.0
-    assert any(plan.response_step.worker is quiet for plan in choices(policy, workers, demand(SHORT)))
+    silent_worker = workers[4]
+    silent_worker.silent = True
+    assert all(
+        plan.response_step.worker is not silent_worker for plan in plans_of(policy, workers, demand(SHORT))
+    )
+    silent_worker.last_received_at = -100.0
+    assert any(
+        plan.response_step.worker is silent_worker for plan in plans_of(policy, workers, demand(SHORT))
+    )
 
 
-def test_the_model_learns_the_pace_of_each_part():
+def test_the_model_learns_the_pace_of_each_phase():
     policy, workers = PairPolicy("a", Random(8)), fleet()
     now = 0.0
     for number in range(200):
         now += 50.0
-        asked = demand((("x" * 8, 10.0), (f"own{number}", 2_000.0)), now)
-        choice = policy.choose(now, workers, asked)
-        step = choice.plan.prefill_step or choice.plan.response_step
-        policy.record_sent(now, step, asked, number)
-        policy.record_first_response(now, step, asked, number, 3.0 * step.run_ms + step.wait_ms)
+        request = demand((("x" * 8, 10.0), (f"own{number}", 2_000.0)), now)
+        selection = policy.choose(now, workers, request)
+        step = selection.plan.prefill_step or selection.plan.response_step
+        policy.record_sent(now, step, request, number)
+        policy.record_first_response(now, step, request, number, 3.0 * step.run_ms + step.wait_ms)
         policy.record_ended(now, step, number)
-    asked = demand((("y" * 8, 10.0), ("own", 2_000.0)), now)
-    step = policy.choose(now, workers, asked).plan.prefill_step
+    request = demand((("y" * 8, 10.0), ("own", 2_000.0)), now)
+    step = policy.choose(now, workers, request).plan.prefill_step
     assert step.forecast_ms > 1.8 * step.run_ms
 
 
-def test_prefixes_unused_longest_give_way():
+def test_the_least_recently_used_prefixes_are_evicted():
     track = worker("p", "prefill")
     track.capacity_tokens = 1_000.0
     track.add_prefix((("a", 400.0), ("b", 400.0)))
@@ -151,22 +155,22 @@
     assert track.cached_tokens((("c", 400.0),)) == 400.0
 
 
-def test_short_reads_go_first_and_hand_overs_before_any():
+def test_short_prefills_rank_before_long_ones_and_transfers_before_any():
     policy, workers = PairPolicy("a", Random(9)), fleet()
-    plans = choices(policy, workers, demand(LONG), 20)
+    plans = plans_of(policy, workers, demand(LONG), 20)
     assert {plan.response_step.rank for plan in plans} == {0} and all(
         plan.prefill_step.rank > 1 for plan in plans
     )
     cold = demand((("z" * 8, 10.0), ("own3", 30_000.0)))
-    assert {plan.prefill_step.rank for plan in choices(policy, workers, cold, 20)} == {RANKS - 1}
+    assert {plan.prefill_step.rank for plan in plans_of(policy, workers, cold, 20)} == {RANKS - 1}
 
 
-def test_a_read_waits_for_what_is_as_urgent_and_for_what_has_begun():
-    """A worker puts no read back once it has begun, however urgent the next one is."""
+def test_a_prefill_waits_for_earlier_ranks_and_for_the_one_in_progress():
+    """A worker does not interrupt a prefill that has begun, whatever the rank of the next one is."""
     track = worker("p", "prefill")
     track.prefill_tokens[4] = 9_000.0
     assert track.prefill_tokens_ahead(1) == IN_PROGRESS_REMAINING_SHARE * 9_000.0, (
-        "it has begun, since nothing else is there"
+        "it is in progress, since nothing else is queued"
     )
     track.prefill_tokens[1] = 500.0
     assert (
@@ -178,7 +182,7 @@
     assert (
         track.prefill_tokens_ahead(1)
         == 500.0 + IN_PROGRESS_REMAINING_SHARE * IN_PROGRESS_PROBABILITY * 10_000.0
-    ), "several reads, of which one has begun"
+    ), "several prefills, of which one is in progress"
     track.prefill_tokens[4], track.peer_prefill_tokens[4], track.peer_scale = 0.0, 2_000.0, 2.0
     assert (
         track.prefill_tokens_ahead(1)
@@ -187,40 +191,40 @@
 
 
 @pytest.mark.parametrize(("scale", "run_ms"), [(0.0, 60.5), (1.0, 162.5), (4.0, 86.0)])
-def test_a_home_is_expected_to_be_warm_as_far_as_others_may_have_sent_there(scale, run_ms):
-    """With every other scheduler heard, a prefix that nobody has told of is nowhere."""
+def test_a_preferred_worker_is_expected_to_be_warm_as_far_as_other_schedulers_are_unknown(scale, run_ms):
+    """If all other schedulers announce their work, a prefix that none has announced is cached nowhere."""
     policy, track = PairPolicy("a", Random(4)), worker("p", "prefill")
     track.peer_scale = scale
-    asked = demand((("shared", 6_000.0), ("own", 1_125.0)))
-    step = policy._prefill_step(0.0, track, ServingPhase.PREFILL, asked, preferred=True)
+    request = demand((("shared", 6_000.0), ("own", 1_125.0)))
+    step = policy._prefill_step(0.0, track, ServingPhase.PREFILL, request, preferred=True)
     assert step.run_ms == pytest.approx(run_ms)
     assert step.prefix_match == PREFERRED_MATCH and step.repeated_tokens == 0.0
 
 
-def test_what_other_schedulers_tell_counts_like_own_work():
+def test_work_that_other_schedulers_announce_counts_like_own_work():
     policy, workers = PairPolicy("a", Random(10)), fleet()
     for track in workers:
         track.peer_scale = 1.0
     for track in workers[:3]:
         track.peer_prefill_tokens[1] = 30_000.0
-    asked = demand((("w" * 8, 10.0), ("own4", 4_000.0)))
-    assert {plan.prefill_step.worker.id for plan in choices(policy, workers, asked, 50)} == {"p3"}
+    request = demand((("w" * 8, 10.0), ("own4", 4_000.0)))
+    assert {plan.prefill_step.worker.id for plan in plans_of(policy, workers, request, 50)} == {"p3"}
 
 
-def test_a_move_between_zones_is_the_exception():
+def test_a_transfer_between_zones_is_the_exception():
     policy, workers = PairPolicy("a", Random(3)), [worker(f"d-{zone}", "decode", zone) for zone in "abc"]
     source = worker("p-c", "prefill", "c")
-    asked = demand((("x", 6000.0), ("own", 3000.0)))
-    chosen = [policy.choose_decode(0.0, workers, asked, source, ()).worker.zone for _ in range(400)]
+    request = demand((("x", 6000.0), ("own", 3000.0)))
+    chosen = [policy.choose_decode(0.0, workers, request, source, ()).worker.zone for _ in range(400)]
     assert chosen.count("c") > 0.8 * len(chosen)
 
 
 @pytest.mark.parametrize(("peer_scale", "seconds"), [(0.0, 0.4), (1.0, 0.4), (4.0, 0.8), (100.0, 1.2)])
-def test_patience_grows_where_few_schedulers_are_heard(peer_scale, seconds):
-    known = worker("p", "prefill")
-    known.peer_scale = peer_scale
+def test_silence_may_be_longer_if_few_schedulers_announce_their_work(peer_scale, seconds):
+    track = worker("p", "prefill")
+    track.peer_scale = peer_scale
     step = Step(
-        known,
+        track,
         ServingPhase.PREFILL,
         run_ms=50.0,
         wait_ms=0.0,
