--- a/tests/system/test_data_plane_parts.py
+++ b/tests/system/test_data_plane_parts.py
@@ -1,4 +1,4 @@
-"""The small pure parts of the data plane: events, routes, budget, load, request heads."""
+"""The small pure modules of the data plane: events, routes, budget, load, request and response heads."""
 
 from collections import Counter
 from itertools import pairwise
@@ -24,7 +24,7 @@
 
 
 @given(cuts=st.lists(st.integers(1, len(STREAM) - 1), max_size=12))
-def test_only_whole_events_go_on_whatever_pieces_they_come_in(cuts):
+def test_only_complete_events_are_passed_on_however_they_are_split(cuts):
     events, out = EventFilter(), b""
     edges = [0, *sorted(cuts), len(STREAM)]
     for start, end in pairwise(edges):
@@ -34,7 +34,7 @@
     assert out == STREAM and events.last_id == b"7"
 
 
-def test_a_part_of_an_event_is_not_what_a_resumed_stream_goes_on_from():
+def test_a_resumed_stream_continues_after_the_last_complete_event():
     events = EventFilter()
     events.feed(b"id: 3\ndata: x\n\nid: 4\nda")
     assert events.last_id == b"3"
@@ -54,11 +54,11 @@
         (b"id: a\n\n", b"3", True),
     ],
 )
-def test_events_that_the_client_has_already_do_not_follow(events, last_id, expected):
+def test_events_that_the_client_already_has_do_not_follow(events, last_id, expected):
     assert follows(events, last_id) is expected
 
 
-def test_the_weights_that_events_come_from_are_known():
+def test_the_filter_knows_the_weights_that_events_come_from():
     events = EventFilter(versions=b"1")
     events.feed(b"id: 1\ndata: versions: 9\n\n")
     assert events.versions == b"1"
@@ -109,24 +109,22 @@
         assert len(window) <= allowed + 1e-9 or not repeat
 
 
-def test_a_scheduler_that_knows_of_no_others_spends_little():
+def test_a_scheduler_that_does_not_know_the_number_of_schedulers_spends_little():
     budget = RetryBudget(0.2, 54.0, 10_000.0)
     assert not any(budget.spend(0.0) for _ in range(5))
 
 
-def test_the_most_schedulers_of_late_divide_the_budget():
+def test_the_highest_recent_number_of_schedulers_divides_the_budget():
     budget = RetryBudget(0.0, 54.0, 10_000.0)
     budget.set_scheduler_count(0.0, 9)
     budget.set_scheduler_count(100.0, 1)
     assert sum(budget.spend(100.0) for _ in range(50)) <= 54 / 9
 
 
-def test_the_load_meter_forgets():
+def test_the_load_meter_drops_old_prefills():
     meter = LoadMeter()
     meter.record_prefill(0.0, 3000.0)
-    assert meter.prefill_tokens_per_s(10.0) == 6000.0, (
-        "the first moments stand for no less than half a second"
-    )
+    assert meter.prefill_tokens_per_s(10.0) == 6000.0, "the first span counts as at least half a second"
     meter.record_prefill(3000.0, 3000.0)
     assert meter.prefill_tokens_per_s(3000.0) == 2000.0
     assert meter.prefill_tokens_per_s(4000.0) == 1000.0
@@ -138,7 +136,7 @@
     return {"method": "POST", "raw_path": path, "query_string": query, "headers": named}
 
 
-def test_a_head_goes_on_unchanged_but_for_what_concerns_one_connection():
+def test_a_head_is_forwarded_unchanged_except_for_hop_by_hop_and_scheduler_headers():
     request = read_head(
         scope(
             (b"X-Own", b"1"),
@@ -158,7 +156,7 @@
     assert names == [b"host", b"molespur-attempt-id", b"x-own"]
 
 
-def test_a_connection_header_takes_no_header_of_the_request_away():
+def test_a_connection_header_does_not_remove_end_to_end_headers():
     named = (b"Molespur-Model", b"Molespur-Prompt-Prefix", b"Molespur-Attempt-Id")
     request = read_head(
         scope((b"Connection", b", ".join(named)), (named[0], b"m"), (named[1], b"a:1")), Limits()
@@ -167,7 +165,7 @@
 
 
 @pytest.mark.parametrize("weights", [(90, 10), (50, 50), (1, 0, 3), (5, 5, 90)])
-def test_the_parts_of_a_split_have_their_shares_after_a_few_dozen_requests(weights):
+def test_the_services_of_a_split_have_their_shares_after_a_few_dozen_requests(weights):
     targets = tuple(Weight(f"s{n}", weight) for n, weight in enumerate(weights))
     for seed in range(20):
         state = DataPlaneState(settings(), Random(seed))
@@ -178,18 +176,23 @@
             assert abs(picked[target.service] - wanted) <= 2 and (target.weight or not picked[target.service])
 
 
-def test_heads_that_make_no_sense_are_refused():
-    with pytest.raises(FleetError) as problem:
+def test_invalid_heads_are_refused():
+    with pytest.raises(FleetError) as raised:
         read_head(scope((b"X", b"y" * 20_000)), Limits())
-    assert problem.value.kind is ErrorKind.HEADERS_TOO_LARGE
-    nameless = {"method": "GET", "raw_path": b"/", "query_string": b"", "headers": [(b"Host", b"h")]}
-    with pytest.raises(FleetError) as problem:
-        read_head(nameless, Limits())
-    assert problem.value.kind is ErrorKind.MALFORMED
+    assert raised.value.kind is ErrorKind.HEADERS_TOO_LARGE
+    without_attempt_id = {
+        "method": "GET",
+        "raw_path": b"/",
+        "query_string": b"",
+        "headers": [(b"Host", b"h")],
+    }
+    with pytest.raises(FleetError) as raised:
+        read_head(without_attempt_id, Limits())
+    assert raised.value.kind is ErrorKind.MALFORMED
 
 
 @pytest.mark.parametrize("prefix", [b"", b"5c1e:x", b"5c1e", b":3", b"a:1,,b:2"])
-def test_a_prefix_that_cannot_be_read_counts_as_none(prefix):
+def test_a_prefix_that_cannot_be_parsed_counts_as_none(prefix):
     request = read_head(
         scope((b"Molespur-Token-Usage", b"1460,80"), (b"Molespur-Prompt-Prefix", prefix)), Limits()
     )
@@ -221,16 +224,16 @@
         (head(302, molespur_attempt_id=b"abc"), "may-have-run"),
     ],
 )
-def test_which_answers_of_a_worker_go_to_the_client(answer, failure):
+def test_which_responses_of_a_worker_go_to_the_client(answer, failure):
     if failure is None:
         check_head(answer, b"abc")
         return
-    with pytest.raises(UpstreamError) as problem:
+    with pytest.raises(UpstreamError) as raised:
         check_head(answer, b"abc")
-    assert problem.value.failure.value == failure
+    assert raised.value.failure.value == failure
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"{}", b'{"PrefillHandle": 3}', b'{"PrefillHandle": "a/../b"}'])
-def test_a_handle_that_makes_no_sense_is_no_handle(body):
+def test_a_prefill_response_without_a_valid_handle_fails(body):
     with pytest.raises(UpstreamError):
         read_handle(body)
