--- a/tests/system/test_hedging.py
+++ b/tests/system/test_hedging.py
@@ -1,4 +1,4 @@
-"""Second attempts beside silent ones: their share, what stops them, and what they tell of a worker."""
+"""Hedges (second attempts beside silent ones): their share, their limits, and what they show of a worker."""
 
 from random import Random
 
@@ -16,7 +16,7 @@
 )
 
 
-def at_work(name, busy_since=0.0, last_received_at=float("-inf")):
+def busy_worker(name, busy_since=0.0, last_received_at=float("-inf")):
     return WorkerTrack(
         name,
         "10.0.0.1:80",
@@ -29,9 +29,9 @@
     )
 
 
-def test_hedges_beside_workers_that_answer_others_have_a_share_of_the_traffic():
+def test_hedges_beside_responsive_workers_have_a_share_of_the_traffic():
     now = 10_000.0
-    busy = at_work("w", last_received_at=now - 1)
+    busy = busy_worker("w", last_received_at=now - 1)
     gate = HedgeGate(lambda: [busy])
     begun = 0
     for _ in range(1000):
@@ -43,8 +43,8 @@
     assert begun == pytest.approx(1000 * HEDGES_PER_REQUEST, abs=2)
 
 
-def test_a_quiet_time_saves_few_hedges():
-    busy = at_work("w", last_received_at=9_999.0)
+def test_few_hedges_are_saved_up():
+    busy = busy_worker("w", last_received_at=9_999.0)
     gate = HedgeGate(lambda: [busy])
     for _ in range(10_000):
         gate.count_request()
@@ -55,8 +55,8 @@
     assert begun == int(MAX_SAVED_HEDGES)
 
 
-def test_beside_a_worker_that_says_nothing_to_anybody_the_share_does_not_count():
-    lost = at_work("w")
+def test_the_share_does_not_limit_hedges_beside_an_unresponsive_worker():
+    lost = busy_worker("w")
     gate = HedgeGate(lambda: [lost])
     for _ in range(50):
         assert gate.refusal(UNRESPONSIVE_MS, lost) is None
@@ -64,51 +64,53 @@
     assert gate.outcomes["begun"] == 50
 
 
-@pytest.mark.parametrize("resting", range(6))
-def test_while_most_workers_rest_none_is_begun(resting):
+@pytest.mark.parametrize("unresponsive", range(6))
+def test_no_hedge_starts_while_most_workers_are_unresponsive(unresponsive):
     now = 10_000.0
-    workers = [at_work(f"r{n}") for n in range(resting)]
-    workers += [at_work(f"w{n}", last_received_at=now - UNRESPONSIVE_MS / 2) for n in range(5 - resting)]
+    workers = [busy_worker(f"r{n}") for n in range(unresponsive)]
+    workers += [
+        busy_worker(f"w{n}", last_received_at=now - UNRESPONSIVE_MS / 2) for n in range(5 - unresponsive)
+    ]
     idle = WorkerTrack("idle", "10.0.0.1:80", "a", "decode", 64)
     gate = HedgeGate(lambda: [*workers, idle])
-    expected = HedgeRefusal.MOST_WORKERS_SILENT if resting > 2 else None
+    expected = HedgeRefusal.MOST_WORKERS_SILENT if unresponsive > 2 else None
     assert gate.refusal(now, workers[0]) is expected
 
 
-def test_few_workers_at_work_tell_nothing_of_the_load():
-    workers = [at_work(f"r{n}") for n in range(MIN_BUSY_WORKERS - 1)]
+def test_few_busy_workers_indicate_no_overload():
+    workers = [busy_worker(f"r{n}") for n in range(MIN_BUSY_WORKERS - 1)]
     assert HedgeGate(lambda: workers).refusal(10_000.0, workers[0]) is None
 
 
-# -- What an overtaken call tells of its worker --------------------------------------------------------
+# -- What an overtaken call shows of its worker --------------------------------------------------------
 
 
-def begun_call(policy, worker, now=0.0):
+def started_call(policy, worker, now=0.0):
     step = Step(worker, ServingPhase.DECODE, 20.0, 0.0, 0.0, 1.0, 40.0)
     policy.record_sent(now, step, Demand("r", 300.0, 3000.0), "key")
     return step
 
 
-def overtaken(policy, step, now, last_received_at, responded=False):
+def overtake(policy, step, now, last_received_at, responded=False):
     policy.record_overtaken(now, step, 0.0, last_received_at, responded)
     policy.record_ended(now, step, "key", failed=False, elapsed_ms=now)
 
 
-def test_a_worker_that_was_overtaken_has_not_failed():
+def test_an_overtaken_call_is_no_failure_of_its_worker():
     policy, worker = PairPolicy("a", Random(1)), WorkerTrack("w", "10.0.0.1:80", "a", "decode", 64)
     before = policy.model.pace(ServingPhase.DECODE)
     for _ in range(10):
-        overtaken(policy, begun_call(policy, worker), 900.0, 0.0)
+        overtake(policy, started_call(policy, worker), 900.0, 0.0)
     assert worker.ejection.failures == 0 and worker.ejection.next_duration_ms == MIN_EJECTION_MS
     assert policy.model.pace(ServingPhase.DECODE) == before
     assert worker.unfinished == 0 and not worker.response_due_at
 
 
-def test_a_worker_silent_on_all_calls_is_spared_until_its_next_word():
+def test_a_worker_silent_on_all_calls_is_ejected_until_its_next_bytes():
     policy, worker = PairPolicy("a", Random(1)), WorkerTrack("w", "10.0.0.1:80", "a", "decode", 64)
-    overtaken(policy, begun_call(policy, worker), 900.0, 0.0)
+    overtake(policy, started_call(policy, worker), 900.0, 0.0)
     assert worker.is_ejected(901.0) and not worker.is_ejected(900.0 + MIN_EJECTION_MS)
-    overtaken(policy, begun_call(policy, worker), 3000.0, 0.0)
+    overtake(policy, started_call(policy, worker), 3000.0, 0.0)
     worker.record_received(3010.0)
     assert not worker.is_ejected(3010.0)
 
@@ -119,21 +121,21 @@
     worker.record_failure(10.0)
     worker.record_failure(20.0)
     worker.record_received(30.0)
-    assert worker.is_ejected(30.0), "a word refutes silence, not failures"
+    assert worker.is_ejected(30.0), "bytes end an ejection for silence, not one for failures"
 
 
-def test_a_worker_that_answers_others_is_not_spared_but_known_to_be_slow():
+def test_a_worker_that_responds_to_other_calls_is_not_ejected_but_known_to_be_slow():
     policy, worker = PairPolicy("a", Random(1)), WorkerTrack("w", "10.0.0.1:80", "a", "decode", 64)
-    step = begun_call(policy, worker)
+    step = started_call(policy, worker)
     worker.record_received(500.0)
-    overtaken(policy, step, 900.0, 0.0)
+    overtake(policy, step, 900.0, 0.0)
     assert not worker.is_ejected(901.0) and worker.log_pace[ServingPhase.DECODE] > 0
 
 
-def test_a_worker_with_work_that_says_nothing_rests():
+def test_a_worker_that_sends_nothing_on_open_calls_is_unresponsive():
     policy, worker = PairPolicy("a", Random(1)), WorkerTrack("w", "10.0.0.1:80", "a", "decode", 64)
-    assert not worker.is_unresponsive(5000.0, UNRESPONSIVE_MS), "nothing is asked of it"
-    begun_call(policy, worker, 5000.0)
+    assert not worker.is_unresponsive(5000.0, UNRESPONSIVE_MS), "it has no open calls"
+    started_call(policy, worker, 5000.0)
     assert not worker.is_unresponsive(
         5000.0 + UNRESPONSIVE_MS - 1, UNRESPONSIVE_MS
     ) and worker.is_unresponsive(5000.0 + UNRESPONSIVE_MS, UNRESPONSIVE_MS)
