--- a/tests/system/test_exchange.py
+++ b/tests/system/test_exchange.py
@@ -1,4 +1,4 @@
-"""One request from its arrival to its answer: what is sent again, and what the client may be told."""
+"""The state machine of a request: what is sent again, and which errors the client may get."""
 
 import os
 from collections import Counter
@@ -22,12 +22,12 @@
     return WorkerTrack(name, f"10.0.0.{len(name)}:80", "a", phase, 64)
 
 
-def step(track, part):
-    return Step(track, part, 20.0, 0.0, 0.0, 1.0, 20.0)
+def step(track, phase):
+    return Step(track, phase, 20.0, 0.0, 0.0, 1.0, 20.0)
 
 
 class ScriptedPolicy:
-    """Chooses the first worker of each part that is not avoided."""
+    """Chooses the first worker of each phase that is not avoided."""
 
     def __init__(self, pair=True):
         self.pair = pair
@@ -36,23 +36,25 @@
 
     def choose(self, _now, workers, _demand, avoid):
         left = [w for w in workers if w.id not in avoid]
-        runners = [w for w in left if w.phase == "decode"]
-        readers = [w for w in left if w.phase == "prefill"]
-        if not runners:
+        decode_workers = [w for w in left if w.phase == "decode"]
+        prefill_workers = [w for w in left if w.phase == "prefill"]
+        if not decode_workers:
             return None
-        run = step(runners[0], ServingPhase.DECODE if self.pair else ServingPhase.DIRECT)
-        steps = (step(readers[0], ServingPhase.PREFILL), run) if self.pair and readers else (run,)
+        run = step(decode_workers[0], ServingPhase.DECODE if self.pair else ServingPhase.DIRECT)
+        steps = (
+            (step(prefill_workers[0], ServingPhase.PREFILL), run) if self.pair and prefill_workers else (run,)
+        )
         return Selection(RoutePlan(steps, self.forecast, 1.0, 40.0), self.meets_target)
 
     def choose_decode(self, _now, workers, _demand, _source, avoid):
-        runners = [w for w in workers if w.id not in avoid and w.phase == "decode"]
-        return step(runners[0], ServingPhase.DECODE) if runners else None
+        decode_workers = [w for w in workers if w.id not in avoid and w.phase == "decode"]
+        return step(decode_workers[0], ServingPhase.DECODE) if decode_workers else None
 
 
 def exchange(pair=True, budget=10, workers=None, **route):
     route = Route("r", "h", "/p/", **{"type": "streaming", "max_attempts": 1, "timeout_ms": 3000.0, **route})
     demand = Demand("r", 300.0, 3000.0, ENGINE, 1000.0)
-    known = workers or [worker("p1", "prefill"), worker("p2", "prefill"), worker("d1"), worker("d2")]
+    listed = workers or [worker("p1", "prefill"), worker("p2", "prefill"), worker("d1"), worker("d2")]
     spent = []
 
     def spend(now):
@@ -61,13 +63,13 @@
         spent.append(now)
         return True
 
-    made = Exchange(route, demand, ScriptedPolicy(pair), lambda: known, spend, HedgeGate(lambda: known))
-    made.granted = spent
-    return made
+    request = Exchange(route, demand, ScriptedPolicy(pair), lambda: listed, spend, HedgeGate(lambda: listed))
+    request.granted = spent
+    return request
 
 
 def only(actions):
-    """The one action of a list."""
+    """The only action of a list."""
     assert len(actions) == 1, actions
     return actions[0]
 
@@ -76,148 +78,148 @@
     return only(request.handle(now, machine.RequestReceived()))
 
 
-def fails(request, now, failure, attempt=None):
+def fail(request, now, failure, attempt=None):
     return only(request.handle(now, machine.AttemptFailed(attempt or request.attempts_started, failure)))
 
 
-def reads(request, now, handle="h"):
+def complete_prefill(request, now, handle="h"):
     return only(request.handle(now, machine.PrefillCompleted(request.attempts_started, handle)))
 
 
-def goes_on(request, now, attempt=None):
+def progress(request, now, attempt=None):
     return request.handle(now, machine.AttemptProgressed(attempt or request.attempts_started))
 
 
-def ends_with(action, kind):
+def assert_error(action, kind):
     assert action == machine.RespondWithError(kind), action
 
 
-def test_a_pair_reads_then_runs_then_is_done():
+def test_a_pair_prefills_then_runs_then_is_done():
     request = exchange()
-    read = begin(request)
-    assert isinstance(read, machine.StartPrefill) and read.step.worker.id == "p1"
-    run = reads(request, 50, "h1")
+    prefill = begin(request)
+    assert isinstance(prefill, machine.StartPrefill) and prefill.step.worker.id == "p1"
+    run = complete_prefill(request, 50, "h1")
     assert (run.step.worker.id, run.source.id, run.handle) == ("d1", "p1", "h1")
-    goes_on(request, 80)
+    progress(request, 80)
     assert request.handle(100, machine.ResponseCompleted(1)) == [machine.Finish()]
     assert request.state is State.DONE and request.granted == []
 
 
-def test_what_may_have_run_is_not_sent_again_and_not_promised():
+def test_a_request_that_may_have_run_is_not_repeated_and_gets_no_promise():
     request = exchange(pair=False)
     begin(request)
-    ends_with(fails(request, 10, Failure.MAY_HAVE_RUN), ErrorKind.MAY_HAVE_RUN)
+    assert_error(fail(request, 10, Failure.MAY_HAVE_RUN), ErrorKind.MAY_HAVE_RUN)
     assert not ANSWERS[ErrorKind.MAY_HAVE_RUN].promises_not_run
 
 
-def test_what_may_be_repeated_is_sent_again_up_to_the_attempts_of_its_route():
+def test_a_repeatable_request_is_repeated_up_to_its_routes_attempts():
     request = exchange(pair=False, resumable=True, max_attempts=2)
     begin(request)
-    again = fails(request, 10, Failure.MAY_HAVE_RUN)
+    again = fail(request, 10, Failure.MAY_HAVE_RUN)
     assert again.step.worker.id == "d2" and len(request.granted) == 1
-    ends_with(fails(request, 20, Failure.MAY_HAVE_RUN), ErrorKind.MAY_HAVE_RUN)
+    assert_error(fail(request, 20, Failure.MAY_HAVE_RUN), ErrorKind.MAY_HAVE_RUN)
 
 
 def test_a_rejected_request_goes_elsewhere_within_the_budget():
     request = exchange(pair=False, budget=0)
     begin(request)
-    ends_with(fails(request, 10, Failure.REJECTED), ErrorKind.REJECTED)
+    assert_error(fail(request, 10, Failure.REJECTED), ErrorKind.REJECTED)
     assert ANSWERS[ErrorKind.REJECTED].promises_not_run
 
 
-def test_a_connection_that_did_not_come_up_costs_no_repeat():
+def test_a_failed_connection_costs_no_budget():
     request = exchange(pair=False, budget=0)
     begin(request)
-    again = fails(request, 10, Failure.NOT_SENT)
+    again = fail(request, 10, Failure.NOT_SENT)
     assert again.step.worker.id == "d2" and request.granted == []
 
 
-def test_a_rejected_prefill_call_counts_and_the_first_taken_one_does_not():
+def test_a_rejected_prefill_counts_and_the_first_accepted_one_does_not():
     request = exchange()
     begin(request)
-    second = fails(request, 10, Failure.REJECTED)
+    second = fail(request, 10, Failure.REJECTED)
     assert isinstance(second, machine.StartPrefill) and second.step.worker.id == "p2"
     assert len(request.granted) == 1
-    reads(request, 20, "h")
+    complete_prefill(request, 20, "h")
     assert len(request.granted) == 1, (
-        "the prompt read is free; the rejected call and the run are two arrivals"
+        "the accepted prefill is free; the rejected one and the run are two arrivals"
     )
 
 
-def test_a_prefill_call_without_an_answer_may_have_taken_the_free_one():
+def test_a_prefill_without_a_response_counts_as_the_free_one():
     request = exchange()
     begin(request)
-    fails(request, 10, Failure.MAY_HAVE_RUN)
-    run = reads(request, 20, "h")
+    fail(request, 10, Failure.MAY_HAVE_RUN)
+    run = complete_prefill(request, 20, "h")
     assert isinstance(run, machine.StartRun) and len(request.granted) == 1
 
 
-def test_a_prefill_call_is_no_run():
+def test_a_prefill_is_no_run():
     request = exchange()
     begin(request)
-    fails(request, 10, Failure.MAY_HAVE_RUN)
-    final = fails(request, 20, Failure.MAY_HAVE_RUN)
+    fail(request, 10, Failure.MAY_HAVE_RUN)
+    final = fail(request, 20, Failure.MAY_HAVE_RUN)
     assert isinstance(final, machine.StartRun) and final.source is None
 
 
-def test_a_handle_that_is_gone_means_another_way():
+def test_a_run_whose_handle_is_rejected_starts_again_with_a_prefill():
     request = exchange()
     begin(request)
-    reads(request, 10, "h")
-    again = fails(request, 20, Failure.REJECTED)
+    complete_prefill(request, 10, "h")
+    again = fail(request, 20, Failure.REJECTED)
     assert isinstance(again, machine.StartPrefill) and len(request.granted) == 1
 
 
-def test_a_broken_stream_goes_on_elsewhere_only_if_it_may():
+def test_a_broken_stream_is_resumed_at_another_worker_only_if_resumable():
     request = exchange(pair=False, resumable=True, max_attempts=2)
     begin(request)
-    goes_on(request, 10)
-    more = fails(request, 20, Failure.MAY_HAVE_RUN)
+    progress(request, 10)
+    more = fail(request, 20, Failure.MAY_HAVE_RUN)
     assert isinstance(more, machine.StartRun) and more.resume and more.step.worker.id == "d2"
-    assert fails(request, 30, Failure.MAY_HAVE_RUN) == machine.AbortResponse()
+    assert fail(request, 30, Failure.MAY_HAVE_RUN) == machine.AbortResponse()
     fixed = exchange(pair=False)
     begin(fixed)
-    goes_on(fixed, 10)
-    assert fails(fixed, 20, Failure.MAY_HAVE_RUN) == machine.AbortResponse()
+    progress(fixed, 10)
+    assert fail(fixed, 20, Failure.MAY_HAVE_RUN) == machine.AbortResponse()
 
 
-def test_no_worker_and_no_time_are_refused_with_a_promise():
+def test_without_worker_or_time_the_refusal_promises_not_run():
     request = exchange(workers=[worker("p", "prefill")])
-    ends_with(begin(request), ErrorKind.NO_WORKER)
+    assert_error(begin(request), ErrorKind.NO_WORKER)
     request = exchange()
-    ends_with(begin(request, 2990), ErrorKind.OUT_OF_TIME_UNSENT)
+    assert_error(begin(request, 2990), ErrorKind.OUT_OF_TIME_UNSENT)
     assert ANSWERS[ErrorKind.NO_WORKER].promises_not_run
     assert ANSWERS[ErrorKind.OUT_OF_TIME_UNSENT].promises_not_run
 
 
-def test_a_request_without_a_chance_is_refused_at_once():
+def test_a_hopeless_request_is_refused_at_once():
     request = exchange()
     request.policy.forecast = 5000.0
-    ends_with(begin(request), ErrorKind.OVERLOADED)
+    assert_error(begin(request), ErrorKind.OVERLOADED)
     lowest = exchange()
     lowest.demand.lowest_priority = True
     lowest.policy.forecast, lowest.policy.meets_target = 1500.0, False
-    ends_with(begin(lowest), ErrorKind.OVERLOADED)
+    assert_error(begin(lowest), ErrorKind.OVERLOADED)
 
 
 @pytest.mark.parametrize("failures", [[f, g] for f in Failure for g in Failure])
 @pytest.mark.parametrize("pair", [False, True])
-def test_no_history_promises_what_may_have_run(failures, pair):
-    """Whatever fails, in every order: a promise is made only when no run can have begun."""
+def test_no_history_promises_not_run_for_what_may_have_run(failures, pair):
+    """For all orders of failures: not-run is promised only if no run can have begun."""
     request = exchange(pair)
     action = begin(request)
     may_have_run = False
     for failure in failures:
         if isinstance(action, machine.StartPrefill):
-            action = reads(request, 10, "h")
+            action = complete_prefill(request, 10, "h")
         if not isinstance(action, machine.StartRun):
             break
         may_have_run |= failure is Failure.MAY_HAVE_RUN
-        action = fails(request, 20, failure)
+        action = fail(request, 20, failure)
     if isinstance(action, machine.RespondWithError):
         assert not (may_have_run and ANSWERS[action.kind].promises_not_run)
     else:
-        assert not may_have_run, "a stream that may not be resumed was sent again"
+        assert not may_have_run, "a request that may not be repeated was sent again"
 
 
 # -- A second attempt beside a silent one ------------------------------------------------------------
@@ -227,54 +229,56 @@
     return request.handle(now, machine.AttemptSilent(attempt))
 
 
-def test_silence_begins_a_second_attempt_and_ends_nothing():
+def test_silence_starts_a_second_attempt_and_ends_nothing():
     request = exchange(pair=False, resumable=True, max_attempts=2)
     begin(request)
     hedge = only(silent(request, 700))
     assert isinstance(hedge, machine.StartRun) and hedge.step.worker.id == "d2" and hedge.hedge
     assert set(request.open_attempts) == {1, 2} and len(request.granted) == 1
-    assert silent(request, 1400) == silent(request, 1500, 2) == [], "two are the most"
+    assert silent(request, 1400) == silent(request, 1500, 2) == [], "at most two attempts are open"
 
 
 @pytest.mark.parametrize("first", [1, 2])
-def test_the_first_that_brings_what_goes_on_ends_the_other(first):
+def test_the_first_attempt_with_progress_cancels_the_other(first):
     request = exchange(pair=False, resumable=True, max_attempts=2)
     begin(request)
     silent(request, 700)
-    assert goes_on(request, 800, first) == [machine.CancelAttempt(3 - first)]
-    assert goes_on(request, 810, 3 - first) == [], "what was ended brings nothing more"
+    assert progress(request, 800, first) == [machine.CancelAttempt(3 - first)]
+    assert progress(request, 810, 3 - first) == [], "events of a cancelled attempt are ignored"
     assert request.handle(820, machine.ResponseCompleted(3 - first)) == []
     assert request.handle(900, machine.ResponseCompleted(first)) == [machine.Finish()]
     assert request.hedge_gate.outcomes["won"] == (first == 2)
 
 
-def test_a_stream_that_falls_silent_is_taken_up_only_beside_the_first():
+def test_a_hedge_resumes_a_silent_stream_while_the_first_attempt_stays_open():
     request = exchange(pair=False, resumable=True, max_attempts=2)
     begin(request)
-    goes_on(request, 100)
+    progress(request, 100)
     hedge = only(silent(request, 1300))
     assert hedge.resume and request.state is State.RESPONDING
-    assert goes_on(request, 1400, 1) == [machine.CancelAttempt(2)], "the first has gone on after all"
-    assert fails(request, 1500, Failure.MAY_HAVE_RUN, 1) == machine.AbortResponse(), "both attempts were used"
+    assert progress(request, 1400, 1) == [machine.CancelAttempt(2)], (
+        "the first attempt has progressed after all"
+    )
+    assert fail(request, 1500, Failure.MAY_HAVE_RUN, 1) == machine.AbortResponse(), "both attempts were used"
 
 
 @pytest.mark.parametrize("failure", Failure)
-def test_a_second_attempt_that_fails_leaves_the_first_as_it_was(failure):
+def test_a_failed_second_attempt_leaves_the_first_open(failure):
     request = exchange(pair=False, resumable=True, max_attempts=2)
     begin(request)
     silent(request, 700)
     assert request.handle(710, machine.AttemptFailed(2, failure)) == []
     assert set(request.open_attempts) == {1} and request.state is State.OPEN
-    goes_on(request, 800, 1)
+    progress(request, 800, 1)
     assert request.handle(900, machine.ResponseCompleted(1)) == [machine.Finish()]
 
 
-def test_the_first_may_fail_beside_the_second():
+def test_a_failed_first_attempt_leaves_the_second_open():
     request = exchange(pair=False, resumable=True, max_attempts=2)
     begin(request)
     silent(request, 700)
     assert request.handle(710, machine.AttemptFailed(1, Failure.MAY_HAVE_RUN)) == []
-    assert goes_on(request, 800, 2) == []
+    assert progress(request, 800, 2) == []
 
 
 REFUSED_HEDGES = {
@@ -286,61 +290,61 @@
 
 
 @pytest.mark.parametrize("refusal", REFUSED_HEDGES)
-def test_a_second_attempt_that_may_not_be_leaves_the_first_as_it_was(refusal):
+def test_a_refused_second_attempt_leaves_the_first_open(refusal):
     request = exchange(pair=False, **REFUSED_HEDGES[refusal])
     begin(request)
     assert silent(request, 700) == []
     assert request.hedge_refusal is refusal and request.hedge_gate.outcomes[refusal.value] == 1
     assert set(request.open_attempts) == {1} and request.counted_arrivals == 1
-    goes_on(request, 800)
+    progress(request, 800)
     assert request.handle(900, machine.ResponseCompleted(1)) == [machine.Finish()]
 
 
-def test_no_second_attempt_without_time():
+def test_no_second_attempt_starts_without_time():
     request = exchange(pair=False, resumable=True, max_attempts=2)
     begin(request)
     request.policy.forecast = 500.0
     assert silent(request, 2600) == [] and request.hedge_refusal is HedgeRefusal.NO_TIME
 
 
-def test_a_prompt_may_be_read_twice_even_where_nothing_may_run_twice():
+def test_a_prefill_may_be_repeated_where_a_run_may_not():
     request = exchange(budget=1)
     begin(request)
     second = only(silent(request, 500))
     assert isinstance(second, machine.StartPrefill) and second.step.worker.id == "p2"
-    abandoned, run = request.handle(600, machine.PrefillCompleted(1, "h1"))
-    assert abandoned == machine.CancelAttempt(2)
+    cancelled, run = request.handle(600, machine.PrefillCompleted(1, "h1"))
+    assert cancelled == machine.CancelAttempt(2)
     assert (run.source.id, run.handle, run.attempt) == ("p1", "h1", 1)
-    assert silent(request, 1500) == [], "what may not be repeated runs once"
+    assert silent(request, 1500) == [], "a request that may not be repeated runs once"
     assert request.hedge_refusal is HedgeRefusal.NOT_REPEATABLE
     assert len(request.granted) == 1
 
 
-def test_the_second_reader_may_be_the_first_to_have_read():
+def test_the_second_prefill_may_complete_first():
     request = exchange(budget=1)
     begin(request)
     silent(request, 500)
-    abandoned, run = request.handle(600, machine.PrefillCompleted(2, "h2"))
-    assert abandoned == machine.CancelAttempt(1) and (run.source.id, run.handle) == ("p2", "h2")
+    cancelled, run = request.handle(600, machine.PrefillCompleted(2, "h2"))
+    assert cancelled == machine.CancelAttempt(1) and (run.source.id, run.handle) == ("p2", "h2")
 
 
-def test_no_run_begins_beside_a_reader_that_needs_the_only_one():
-    known = [worker("p1", "prefill"), worker("d1"), worker("d2")]
-    request = exchange(workers=known)
+def test_no_run_starts_beside_a_prefill_that_needs_the_only_run():
+    workers = [worker("p1", "prefill"), worker("d1"), worker("d2")]
+    request = exchange(workers=workers)
     begin(request)
-    assert silent(request, 500) == [], "all that is left is a worker that would run it"
+    assert silent(request, 500) == [], "only a worker that would run the request is left"
     assert request.hedge_refusal is HedgeRefusal.NO_ATTEMPT
 
 
-def test_a_hand_over_that_may_not_be_ends_only_its_own_attempt():
-    known = [worker("p1", "prefill"), worker("p2", "prefill"), worker("d1")]
-    request = exchange(workers=known, resumable=True, max_attempts=2)
+def test_a_prefill_without_a_decode_worker_ends_only_its_own_attempt():
+    workers = [worker("p1", "prefill"), worker("p2", "prefill"), worker("d1")]
+    request = exchange(workers=workers, resumable=True, max_attempts=2)
     begin(request)
-    run = reads(request, 100)
+    run = complete_prefill(request, 100)
     assert isinstance(run, machine.StartRun)
-    known.append(worker("d2"))
+    workers.append(worker("d2"))
     assert isinstance(only(silent(request, 900)), machine.StartPrefill)
-    known.pop()
+    workers.pop()
     assert request.handle(1000, machine.PrefillCompleted(2, "h2")) == [machine.CancelAttempt(2)]
     assert set(request.open_attempts) == {1}
 
@@ -358,7 +362,7 @@
 
 
 class RandomHistory:
-    """One request whose attempts do what is drawn, and what must hold after every step."""
+    """One request whose attempts behave at random, with checks after every step."""
 
     def __init__(self, seed):
         self.random = Random(seed)
@@ -370,23 +374,23 @@
             + [worker(f"d{n}") for n in range(self.random.randrange(1, 4))],
             **self.route,
         )
-        self.reading, self.running = set(), set()  # attempts that are out
-        self.ran = 0  # calls for the answer that may have run, those that are out included
-        self.progressed = None  # the attempt that brought the last event
+        self.in_prefill, self.running = set(), set()  # open attempts
+        self.ran = 0  # runs that may have been executed, including open ones
+        self.progressed = None  # the attempt with the last event
         self.now, self.final = 0.0, None
 
     def play(self):
         self.take(self.request.handle(self.now, machine.RequestReceived()))
         while self.final is None:
             self.now += self.random.choice((1.0, 50.0, 700.0))
-            assert self.reading or self.running, "a request with no attempt out is never answered"
+            assert self.in_prefill or self.running, "a request without an open attempt never ends"
             self.take(self.request.handle(self.now, self.event()))
-        assert not self.reading and not self.running, "nothing goes on after the end"
+        assert not self.in_prefill and not self.running, "no attempt is open after the end"
         self.check_end()
 
     def event(self):
-        number = self.random.choice(sorted(self.reading | self.running))
-        kind = self.random.choice(("silent", "silent", "fails", "good"))
+        number = self.random.choice(sorted(self.in_prefill | self.running))
+        kind = self.random.choice(("silent", "silent", "fails", "succeeds"))
         if kind == "silent" and self.now < 2900:
             return machine.AttemptSilent(number)
         if kind == "fails" or self.now > 2900:
@@ -395,11 +399,11 @@
                 failure = Failure.MAY_HAVE_RUN
             if number in self.running and failure is not Failure.MAY_HAVE_RUN:
                 self.ran -= 1
-            self.reading.discard(number)
+            self.in_prefill.discard(number)
             self.running.discard(number)
             return machine.AttemptFailed(number, failure)
-        if number in self.reading:
-            self.reading.discard(number)
+        if number in self.in_prefill:
+            self.in_prefill.discard(number)
             return machine.PrefillCompleted(number, f"h{number}")
         if self.progressed == number and self.random.random() < 0.5:
             self.running.discard(number)
@@ -409,30 +413,32 @@
 
     def take(self, actions):
         for action in actions:
-            assert self.final is None, "nothing follows the end"
+            assert self.final is None, "no action follows the end"
             match action:
                 case machine.StartPrefill(number):
-                    self.reading.add(number)
+                    self.in_prefill.add(number)
                 case machine.StartRun(number):
                     self.running.add(number)
                     self.ran += 1
                     assert action.resume == (self.progressed is not None), (
-                        "a part is neither lost nor doubled"
+                        "no part of the response is lost or sent twice"
                     )
                 case machine.CancelAttempt(number):
-                    self.reading.discard(number)
+                    self.in_prefill.discard(number)
                     self.running.discard(number)
                 case _:
                     self.final = action
-        assert len(self.reading) + len(self.running) <= 2
-        most = self.route.get("max_attempts", 1) if self.route != ROUTES[0] else 1
-        assert self.ran <= most, f"ran {self.ran} times on a route for {most}"
-        assert self.request.budget_spent == len(self.request.granted), "each right is taken once"
+        assert len(self.in_prefill) + len(self.running) <= 2
+        max_runs = self.route.get("max_attempts", 1) if self.route != ROUTES[0] else 1
+        assert self.ran <= max_runs, f"ran {self.ran} times on a route with max_attempts {max_runs}"
+        assert self.request.budget_spent == len(self.request.granted), (
+            "each repeat is taken from the budget once"
+        )
 
     def check_end(self):
         match self.final:
             case machine.RespondWithError(kind):
-                assert self.progressed is None, "an answer of our own after a part of a worker's"
+                assert self.progressed is None, "an error response after a part of a worker's response"
                 assert not (self.ran and ANSWERS[kind].promises_not_run)
             case machine.AbortResponse():
                 assert self.progressed is not None
