--- a/tests/system/test_connection_pool.py
+++ b/tests/system/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""The connections to one worker, on loopback sockets, with a clock that the test moves."""
+"""The connection pool of one worker, on loopback sockets, with a clock that the test advances."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 
 
 class Rig:
-    """A pool to one scripted worker."""
+    """A connection pool to one scripted worker."""
 
     def __init__(self, worker, limit=8):
         self.worker, self.now = worker, 0.0
@@ -46,7 +46,7 @@
     return lambda request: answer(request, extra=b"Keep-Alive: timeout=%d\r\n" % seconds)
 
 
-def test_the_connection_that_rested_least_is_used_first():
+def test_the_connection_that_was_idle_for_the_shortest_time_is_used_first():
     async def scenario(rig):
         first, second = await rig.begin(), await rig.begin()
         for response in (first, second):
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize(
-    ("seconds", "rest", "repeatable", "again"),
+    ("seconds", "idle_s", "repeatable", "reused"),
     [
         (15, 14.0, True, True),
         (15, 14.6, True, False),
@@ -75,17 +75,17 @@
         (600, 21.0, True, False),
     ],
 )
-def test_a_connection_rests_as_long_as_its_worker_and_the_call_allow(seconds, rest, repeatable, again):
+def test_a_connection_is_idle_as_long_as_its_worker_and_the_call_allow(seconds, idle_s, repeatable, reused):
     async def scenario(rig):
         await rig.call()
-        rig.now += rest
+        rig.now += idle_s
         assert await rig.call(repeatable) == 200
-        assert rig.worker.connections == (1 if again else 2)
+        assert rig.worker.connections == (1 if reused else 2)
 
     rig_test(scenario, keeping(seconds))
 
 
-def test_a_call_that_must_not_be_repeated_leaves_long_rested_connections_to_others():
+def test_a_call_that_must_not_be_repeated_leaves_long_idle_connections_to_others():
     async def scenario(rig):
         await rig.call()
         rig.now += 10.0
@@ -98,7 +98,7 @@
     rig_test(scenario, keeping(15))
 
 
-def test_with_no_room_left_a_long_rested_connection_gives_way():
+def test_at_the_limit_a_long_idle_connection_is_replaced():
     async def scenario(rig):
         await rig.call()
         rig.now += 10.0
@@ -108,7 +108,7 @@
     rig_test(scenario, keeping(15), limit=1)
 
 
-def test_the_limit_holds_and_who_waits_gets_what_comes_free():
+def test_the_limit_holds_and_a_waiting_call_gets_the_released_connection():
     async def scenario(rig):
         response = await rig.begin()
         waiting = asyncio.create_task(rig.call())
@@ -123,7 +123,7 @@
     rig_test(scenario, answer, limit=1)
 
 
-def test_who_waits_too_long_has_sent_nothing(monkeypatch):
+def test_a_call_that_waits_too_long_sends_nothing(monkeypatch):
     monkeypatch.setattr(pooling, "CONNECT_TIMEOUT_S", 0.0)
 
     async def scenario(rig):
@@ -136,7 +136,7 @@
     rig_test(scenario, answer, limit=1)
 
 
-def test_a_connection_that_its_worker_closed_while_it_rested_is_not_used():
+def test_a_connection_that_its_worker_closed_while_idle_is_not_used():
     async def scenario(rig):
         await rig.call()
         await rig.worker.closed.wait()
@@ -149,14 +149,14 @@
     rig_test(scenario, lambda request: [answer(request), None], answer)
 
 
-def test_a_call_that_is_given_up_makes_room():
+def test_a_cancelled_call_frees_its_connection():
     async def scenario(rig):
-        never = asyncio.create_task(rig.begin())
+        cancelled = asyncio.create_task(rig.begin())
         while not rig.worker.requests:
             await asyncio.sleep(0)
-        never.cancel()
+        cancelled.cancel()
         with pytest.raises(asyncio.CancelledError):
-            await never
+            await cancelled
         assert rig.pool.open == 0
         assert await rig.call() == 200
 
@@ -164,7 +164,7 @@
     rig_test(scenario, lambda request: [held], answer, limit=1)
 
 
-def test_a_worker_that_cannot_be_reached_costs_no_room():
+def test_failed_connections_do_not_count_for_the_limit():
     async def scenario(rig):
         rig.worker.server.close()
         await rig.worker.server.wait_closed()
@@ -176,7 +176,7 @@
     rig_test(scenario, answer, limit=1)
 
 
-def test_what_has_rested_too_long_is_closed_by_trimming():
+def test_expired_connections_are_closed():
     async def scenario(rig):
         await rig.call()
         rig.now += 14.0
@@ -202,12 +202,12 @@
         (b"", 4.0),
     ],
 )
-def test_what_a_worker_says_of_its_patience(value, seconds):
+def test_the_idle_time_follows_from_the_keep_alive_header(value, seconds):
     assert max_idle_after([(b"X", b"timeout=1"), (b"Keep-Alive", value)]) == seconds
 
 
 def test_a_connection_whose_call_was_broken_off_is_closed_and_not_kept():
-    rest = asyncio.Event()
+    may_end = asyncio.Event()
 
     async def scenario(rig):
         response = await rig.begin()
@@ -216,7 +216,7 @@
         rig.pool.release(pooled)  # as after a second cancellation, which httpcore does not see
         await rig.pool.aclose()
         assert rig.pool.open == 0 and pooled.connection.is_closed()
-        rest.set()
+        may_end.set()
         await rig.worker.closed.wait()
 
-    rig_test(scenario, lambda request: [answer(request)[:-1], rest])
+    rig_test(scenario, lambda request: [answer(request)[:-1], may_end])
