--- a/tests/system/test_client_limits.py
+++ b/tests/system/test_client_limits.py
@@ -1,4 +1,4 @@
-"""How long clients may take: the operator's limits on heads, bodies and resting connections."""
+"""The operator's time limits for clients: for heads, bodies and idle connections."""
 
 import asyncio
 import json
@@ -39,7 +39,7 @@
     return await answered
 
 
-def test_a_head_that_drips_in_is_answered_408_and_the_connection_closed():
+def test_a_head_that_arrives_too_slowly_gets_a_408_and_a_close():
     async def scenario(client, worker):
         await client.send(b"POST /p/x HTTP/1.1\r\n")
         head = await drip(client, b"X-A: b\r\n")
@@ -50,12 +50,12 @@
     limits_test(scenario, header_ms=SHORT_MS)
 
 
-def test_a_head_that_stops_midway_is_answered_408():
+def test_a_head_that_stops_midway_gets_a_408():
     async def scenario(client, worker):
         await client.send(request())
         assert (await client.response())[0] == 200
         await client.send(b"POST /p/x HT")
-        status, head, body, _whole = await client.response()
+        status, head, body, _complete = await client.response()
         assert (status, header(head, b"Connection"), body) == (408, b"close", b"")
         assert await client.closed()
         assert len(worker.requests) == 1
@@ -63,17 +63,17 @@
     limits_test(scenario, header_ms=SHORT_MS)
 
 
-def test_a_body_that_drips_in_is_answered_408_and_not_sent_on():
+def test_a_body_that_arrives_too_slowly_gets_a_408_and_is_not_forwarded():
     async def scenario(client, worker):
         await client.send(request(body=b"z" * 100_000)[:-99_000])
-        status, head, _body, _whole = await client.response()
+        status, head, _body, _complete = await client.response()
         assert (status, header(head, b"Connection")) == (408, b"close")
         assert worker.requests == []
 
     limits_test(scenario, idle_ms=SHORT_MS)
 
 
-def test_a_body_may_not_take_longer_than_its_request_has():
+def test_a_body_may_not_take_longer_than_the_deadline_of_its_request():
     async def scenario(client, worker):
         await client.send(request(body=b"zz", deadline=SHORT_MS)[:-1])
         assert (await client.response())[0] == 408
@@ -82,8 +82,8 @@
     limits_test(scenario)
 
 
-@pytest.mark.parametrize("used", [False, True], ids=["never used", "after an answer"])
-def test_a_resting_connection_is_closed_without_a_word(used):
+@pytest.mark.parametrize("used", [False, True], ids=["never used", "after a response"])
+def test_an_idle_connection_is_closed_without_a_response(used):
     async def scenario(client, _worker):
         if used:
             await client.send(request())
@@ -93,7 +93,7 @@
     limits_test(scenario, idle_ms=SHORT_MS)
 
 
-def test_a_request_under_way_is_no_rest():
+def test_a_connection_with_an_open_request_is_not_idle():
     async def scenario(client, worker):
         await client.send(request())
         assert (await client.response())[0] == 200
@@ -107,7 +107,7 @@
     limits_test(scenario, after_the_limits, header_ms=SHORT_MS, idle_ms=SHORT_MS)
 
 
-def test_limits_of_0_bound_nothing():
+def test_limits_of_0_mean_no_limit():
     async def scenario(client, _worker):
         await client.send(request(body=b"12")[:20])
         await client.send(request(body=b"12")[20:-1])
@@ -119,8 +119,8 @@
     limits_test(scenario, header_ms=0, idle_ms=0)
 
 
-def test_resting_connections_do_not_hold_up_an_end():
-    """The grace of the server is far longer than the test may take."""
+def test_idle_connections_do_not_delay_the_end_of_the_server():
+    """The server's grace period is far longer than the test may take."""
 
     async def scenario():
         listener = early_listener.listening("127.0.0.1:0")
@@ -142,14 +142,14 @@
 
 
 async def refuse(_scope, _receive, send):
-    """An application that knows no path."""
+    """An application without any path."""
     head = [(b"content-length", b"0")]
     await send({"type": "http.response.start", "status": 404, "headers": head})
     await send({"type": "http.response.body", "body": b"", "more_body": False})
 
 
 class VirtualLoop:
-    """What a timer needs of the loop, on a clock that the test moves."""
+    """What a timer needs of the loop, on a clock that the test advances."""
 
     def __init__(self):
         self.now, self.calls = 0.0, []
@@ -162,7 +162,7 @@
         self.calls.append(handle)
         return handle
 
-    def move(self, now):
+    def advance_to(self, now):
         self.now = now
         for handle in self.calls:
             if handle.due <= now and not handle.cancelled:
@@ -178,8 +178,8 @@
         self.cancelled = True
 
 
-def timer_at_rest():
-    """A timer of a connection that rests from time 0, its loop, and the times at which it closed it."""
+def idle_timer():
+    """The timer of a connection that is idle from time 0, its loop, and the times of its closes."""
     loop, closed = VirtualLoop(), []
     limits = Limits(header_timeout_ms=3000.0, idle_timeout_ms=15_000.0)
     timer = RequestTimer(lambda: limits, lambda: closed.append(loop.now), loop)
@@ -194,27 +194,27 @@
 
 
 def test_a_head_counts_from_its_first_byte():
-    timer, loop, closed = timer_at_rest()
-    loop.move(14.9)
+    timer, loop, closed = idle_timer()
+    loop.advance_to(14.9)
     timer.record_received()
     assert timer.head_due == pytest.approx(17.9)
-    loop.move(16.0)
+    loop.advance_to(16.0)
     timer.record_received()
     assert timer.head_due == pytest.approx(17.9)
     assert closed == []
 
 
-def test_rest_counts_anew_after_each_answer():
-    timer, loop, closed = timer_at_rest()
+def test_the_idle_time_starts_again_after_each_response():
+    timer, loop, closed = idle_timer()
     timer.record_received()
     call(timer.stop())
     assert (timer.state, timer.head_due) == (WaitState.RESPONSE, None)
     timer.record_received()  # a body
     assert timer.head_due is None
-    loop.move(100.0)
+    loop.advance_to(100.0)
     assert closed == []
     call(timer.restart(None, None))
-    loop.move(114.9)
+    loop.advance_to(114.9)
     assert closed == []
-    loop.move(115.0)
+    loop.advance_to(115.0)
     assert closed == [115.0]
--- a/tests/system/test_closing_connections.py
+++ b/tests/system/test_closing_connections.py
@@ -1,12 +1,10 @@
-"""A connection that is closed after an answer is closed so that the client can read that answer.
+"""A connection that is closed after a response is closed so that the client can read that response.
 
-The failure behind these tests: a scheduler was told to stop; a client had sent requests ahead, and was
-still sending the last of them. The scheduler answered the first with `Connection: close` and closed its
-socket with bytes unread, which the system turns into a reset. The client's next write failed, and the
-answer that had arrived was lost with the connection, though a worker had run the request.
-
-Evidence: the soak's history of seed 17 (the request ran, `no answer` 60 ms later, the one after it
-`unsent` in the same moment), and none of it where nothing was sent ahead.
+The failure: a scheduler stops while a client with pipelined requests is still sending the last of them.  The
+scheduler responds to the first with `Connection: close` and closes its socket with unread bytes, which the
+kernel turns into a reset.  The client's next write fails, and the response that has arrived is lost with the
+connection, although a worker has run the request.  The soak with seed 17 showed it: a request that ran got
+`no answer` 60 ms later, and the next one was `unsent` then.  It does not occur without pipelining.
 """
 
 import asyncio
@@ -19,7 +17,7 @@
 from molespur.system.settings.configuration import Limits
 
 PIECES = 20
-MOST_PIECES = 100_000
+MAX_PIECES = 100_000
 
 
 def served(scenario):
@@ -36,28 +34,28 @@
     run(prepared())
 
 
-def test_a_client_that_has_sent_ahead_reads_the_answer_before_the_close():
+def test_a_client_with_pipelined_requests_reads_the_response_before_the_close():
     async def scenario(client, ingress):
         ingress.stopping = True
         await client.send(request())
-        status, head, _body, whole = await client.response()
-        assert status == 200 and whole and b"close" in head.lower()
-        for _ in range(PIECES):  # what was under way when the answer came
+        status, head, _body, complete = await client.response()
+        assert status == 200 and complete and b"close" in head.lower()
+        for _ in range(PIECES):  # what was in flight when the response came
             await client.send(b"x" * 1000)
             await asyncio.sleep(0)
-        assert await client.reader.read() == b"", "in order, not by a reset"
+        assert await client.reader.read() == b"", "closed in order, not by a reset"
 
     served(scenario)
 
 
-def test_a_client_that_goes_on_for_ever_does_not_hold_the_connection(monkeypatch):
+def test_a_client_that_never_stops_sending_does_not_hold_the_connection(monkeypatch):
     monkeypatch.setattr(client_server, "LINGER_S", 0.0)
 
     async def scenario(client, ingress):
         ingress.stopping = True
         await client.send(request())
         assert (await client.response())[0] == 200
-        for _ in range(MOST_PIECES):
+        for _ in range(MAX_PIECES):
             try:
                 await client.send(b"x" * 1000)
             except OSError:
@@ -68,7 +66,7 @@
     served(scenario)
 
 
-def test_a_body_that_is_too_long_is_answered_while_its_client_still_sends():
+def test_a_too_long_body_gets_a_response_while_its_client_still_sends():
     async def scenario(client, _ingress):
         head = request().replace(b"Content-Length: 0", b"Content-Length: 3000000")
         await client.send(head + b"x" * 1_500_000)
@@ -82,10 +80,10 @@
     served(scenario)
 
 
-def test_a_request_that_comes_as_its_connection_is_closed_is_not_passed_on():
-    """Its bytes had been read in the turn of the loop in which the time to rest was over.
+def test_a_request_that_arrives_while_its_connection_closes_is_not_served():
+    """Its bytes are read in the loop iteration in which the idle timeout expires.
 
-    A worker would run it, and its client would get no answer.
+    A worker would run it, and its client would get no response.
     """
 
     async def scenario():
@@ -110,7 +108,7 @@
 
 
 class ClosingWriter:
-    """A client's connection as its server writes it."""
+    """The writer of a client's connection."""
 
     closing = False
 
@@ -121,19 +119,19 @@
         return self.closing
 
     def write(self, _data):
-        """Nobody reads it."""
+        """Discards the data."""
 
     async def drain(self):
-        """Nothing is kept back."""
+        """Nothing is buffered."""
 
     def write_eof(self):
-        """Nothing more comes."""
+        """Nothing to do."""
 
     def close(self):
         self.closing = True
 
     async def wait_closed(self):
-        """It is closed at once."""
+        """Closes at once."""
 
 
 class FakeSocket:
--- a/tests/system/test_long_writes.py
+++ b/tests/system/test_long_writes.py
@@ -1,10 +1,10 @@
-"""A worker that takes the bytes of a long request slowly is not given up: no fact says that it is lost.
+"""A worker that reads a long request slowly does not lose its connection.
 
-The failure behind these tests, seen by playing it in real time: a body of 4 MB, and a worker that reads
-nothing for 3 s. The kernel's time-out for unacknowledged bytes, 1.5 s, counts a full window as well; it
-closed the connection, and the client was told 502 after 2.0 s while the worker would have gone on.
+The failure: a body of 4 MB is sent to a worker that reads nothing for 3 s.  The kernel applies its timeout
+for unacknowledged bytes, 1.5 s, also while the receive window is full.  It closed the connection, and the
+client got a 502 after 2.0 s although the worker would have continued.
 
-The kernel's time does not pass on a virtual loop, so the tests ask for the socket's option.
+The kernel's timers do not follow a virtual loop, so the tests check the socket option.
 """
 
 import asyncio
@@ -35,7 +35,7 @@
 
 
 class LateReader(ScriptedWorker):
-    """Reads the head of a request, and its body only once it is told to."""
+    """Reads the head of a request, but its body only after `may_read` is set."""
 
     def __init__(self):
         super().__init__("w", answer)
@@ -43,7 +43,7 @@
 
     async def _connection(self, reader, writer):
         class Held:
-            """The reader, but for the body's first read."""
+            """The reader, whose first read of the body waits."""
 
             async def readuntil(_self, separator):
                 return await reader.readuntil(separator)
@@ -58,16 +58,16 @@
 
 @pytest.fixture
 def streams(monkeypatch):
-    """The connections that are opened to workers."""
-    made = []
+    """The connections opened to workers."""
+    opened = []
 
-    class Noted(network.WorkerStream):
+    class RecordedStream(network.WorkerStream):
         def connection_made(self, transport):
             super().connection_made(transport)
-            made.append(self)
+            opened.append(self)
 
-    monkeypatch.setattr(network, "WorkerStream", Noted)
-    return made
+    monkeypatch.setattr(network, "WorkerStream", RecordedStream)
+    return opened
 
 
 def kernel_timeout_ms(stream):
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize(("size", "long"), [(SHORT, False), (LONG, True)])
-def test_a_long_body_may_be_taken_slowly(streams, size, long):
+def test_a_long_body_may_be_read_slowly(streams, size, long):
     async def scenario():
         worker = LateReader()
         async with data_plane(configuration(), worker, clock=clock) as (port, _):
@@ -86,10 +86,10 @@
             (stream,) = streams
             assert (kernel_timeout_ms(stream) >= TIMEOUT_MS) == long
             worker.may_read.set()
-            status, _, _, whole = await client.response()
-            assert (status, whole) == (200, True)
+            status, _, _, complete = await client.response()
+            assert (status, complete) == (200, True)
             assert kernel_timeout_ms(stream) == network.UNACKNOWLEDGED_MS, (
-                "a dead worker is noticed soon again"
+                "a dead worker is detected soon again"
             )
             await client.send(request(attempt=b"a2", deadline=TIMEOUT_MS))
             assert (await client.response())[0] == 200 and len(streams) == 1
