--- a/tests/system/test_answers_and_callers.py
+++ b/tests/system/test_answers_and_callers.py
@@ -1,7 +1,7 @@
-"""An answer goes to its own caller, and what may not be repeated is sent once: whatever a worker does.
+"""A response goes to its own caller, and a non-repeatable request is sent once, whatever a worker does.
 
-Each history is a few requests through one scheduler to workers on loopback that break, double, delay, cut and
-reset their answers at every byte.  Everything that is drawn follows from the history's seed.
+Each history is a few requests through one scheduler to workers on loopback that garble, duplicate, delay,
+truncate and reset their responses at every byte.  All random draws follow from the history's seed.
 """
 
 import asyncio
@@ -31,13 +31,13 @@
 from molespur.system.data_plane.exchange_messages import Failure
 from molespur.system.data_plane.upstream import Head, UpstreamError
 
-HISTORIES = int(os.environ.get("ANSWER_HISTORIES", "240"))  # 10,000 by night
+HISTORIES = int(os.environ.get("ANSWER_HISTORIES", "240"))  # 10,000 in nightly runs
 PARTS = 4
-TRIES = 8  # of a request that is refused with a promise, as on a machine that is busy
-PROMISES = (408, 421, 429, 503)  # the request has not run and never will
+MAX_TRIES = 8  # of a request that is refused as not run, as on a busy machine
+NOT_RUN_STATUSES = (408, 421, 429, 503)  # they promise that the request has not run and never will
 KINDS = (
-    "whole", "cut", "reset", "double", "stray", "rejects another", "unframed", "unframed and reset", "early",
-    "late", "rejected", "silent close", "garbage", "in pieces",
+    "complete", "cut", "reset", "double", "stray", "rejects another", "unframed", "unframed and reset",
+    "early", "late", "rejected", "silent close", "garbage", "in pieces",
 )  # fmt: skip
 
 
@@ -48,23 +48,23 @@
     return json.dumps({"Version": 1, "Routes": [made], "Services": [service]}).encode()
 
 
-class StrikingWorker(ScriptedWorker):
-    """Does to each answer what the next draw says, and counts what it ran."""
+class FaultyWorker(ScriptedWorker):
+    """Responds in a randomly drawn way to each request, and records which it ran."""
 
     def __init__(self, name, random, ran, met, streams=False):
         super().__init__(name, None)
         self.random, self.ran, self.met, self.streams = random, ran, met, streams
-        self.earlier = []  # ids that this worker has answered before
+        self.earlier = []  # ids of the requests that this worker has responded to
 
-    def whole(self, received):
+    def complete(self, received):
         attempt = header(received, b"Molespur-Attempt-Id")
         if self.streams:
             return stream_head(received) + b"".join(map(chunk, events(attempt))) + LAST_CHUNK
         return answer(received, b"for " + attempt)
 
     def unframed(self, received, attempt):
-        """The same head without a length, and the body as it would follow it."""
-        start, _, body = self.whole(received).partition(b"\r\n\r\n")
+        """The same head without a length, and the body that follows it."""
+        start, _, body = self.complete(received).partition(b"\r\n\r\n")
         lines = [line for line in start.split(b"\r\n") if not line.lower().startswith(FRAMING)]
         return b"\r\n".join(lines) + b"\r\n\r\n", b"".join(events(attempt)) if self.streams else body
 
@@ -78,7 +78,7 @@
             writer.close()
 
     async def _one(self, reader, writer):
-        """One request; whether the connection goes on."""
+        """Serve one request; return whether the connection stays open."""
         head = await reader.readuntil(b"\r\n\r\n")
         length = int(header(head, b"Content-Length") or 0)
         kind = self.random.choice(KINDS)
@@ -97,12 +97,12 @@
         return await self._answer(writer, kind, head, attempt)
 
     async def _answer(self, writer, kind, head, attempt):
-        data = self.whole(head)
+        data = self.complete(head)
         at = self.random.randrange(len(data))
         earlier = self.random.choice(self.earlier) if self.earlier else b"0000"
         self.earlier.append(attempt)
         match kind:
-            case "whole":
+            case "complete":
                 writer.write(data)
             case "cut":
                 writer.write(data[:at])
@@ -115,7 +115,7 @@
             case "double":
                 writer.write(data + data)
             case "stray":
-                writer.write(self.whole(b"X\r\nMolespur-Attempt-Id: %s\r\n\r\n" % earlier) + data)
+                writer.write(self.complete(b"X\r\nMolespur-Attempt-Id: %s\r\n\r\n" % earlier) + data)
             case "rejects another":
                 writer.write(rejection(earlier) + data)
             case "unframed" | "unframed and reset":
@@ -146,7 +146,7 @@
 
 
 def events(attempt):
-    """The events of the stream that belongs to an attempt."""
+    """The events of an attempt's stream."""
     return [event(number) + b": " + attempt + b"\n\n" for number in (1, 2, 3)]
 
 
@@ -156,22 +156,21 @@
 
 
 def reset(writer):
-    """Close a connection so that its peer sees a reset."""
+    """Close a connection with a reset."""
     sock = writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
 
 
 class History:
-    """One history: requests on a few connections, some callers leave; then what each was told is checked."""
+    """Requests on a few connections, some of whose callers disconnect; then all responses are checked."""
 
     def __init__(self, seed, route_type, resumable=False):
         self.random, self.route_type, self.resumable = Random(seed), route_type, resumable
-        self.ran, self.met, self.told = [], Counter(), {}
+        self.ran, self.met, self.responses = [], Counter(), {}
         self.streams = route_type == "streaming"
         self.workers = [
-            StrikingWorker(f"w{n}", Random(seed * 10 + n), self.ran, self.met, self.streams)
-            for n in (1, 2, 3)
+            FaultyWorker(f"w{n}", Random(seed * 10 + n), self.ran, self.met, self.streams) for n in (1, 2, 3)
         ]
 
     async def play(self):
@@ -186,20 +185,20 @@
             attempt = b"%d.%d" % (number, turn)
             client = client or await Client.connect(port)
             size = self.random.choice((0, 0, 10, 200_000))
-            leaves = self.random.random() < 0.15
+            disconnects = self.random.random() < 0.15
             await client.send(request(attempt=attempt, body=b"b" * size))
-            if leaves:
-                self.met["caller left"] += 1
+            if disconnects:
+                self.met["caller disconnected"] += 1
                 client.writer.close()
                 client = None
                 continue
             try:
-                status, head, body, whole = await client.response()
+                status, head, body, complete = await client.response()
             except (asyncio.IncompleteReadError, ConnectionError):
                 client = None
                 continue
-            self.told[attempt] = (status, head, body, whole)
-            if not whole or header(head, b"Connection") == b"close":
+            self.responses[attempt] = (status, head, body, complete)
+            if not complete or header(head, b"Connection") == b"close":
                 client = None
         if client is not None:
             client.writer.close()
@@ -208,26 +207,26 @@
         runs = Counter(attempt for attempt, _ in self.ran)
         self.met["run again"] += sum(count > 1 for count in runs.values())
         for attempt, count in runs.items():
-            most = 2 if self.route_type == "idempotent" or self.resumable else 1
-            assert count <= most, f"{attempt} was sent {count} times"
-        for attempt, (status, head, body, whole) in self.told.items():
-            if status in PROMISES:
-                assert not runs[attempt], f"{status} for {attempt}, which ran"
+            max_runs = 2 if self.route_type == "idempotent" or self.resumable else 1
+            assert count <= max_runs, f"{attempt} was sent {count} times"
+        for attempt, (status, head, body, complete) in self.responses.items():
+            if status in NOT_RUN_STATUSES:
+                assert not runs[attempt], f"{status} promises that {attempt} has not run, but it ran"
             if status == 200:
                 assert header(head, b"Molespur-Attempt-Id") == attempt
-                self._check_body(attempt, body, whole)
+                self._check_body(attempt, body, complete)
 
-    def _check_body(self, attempt, body, whole):
+    def _check_body(self, attempt, body, complete):
         if not self.streams:
-            assert whole and body == b"for " + attempt, (attempt, body)
+            assert complete and body == b"for " + attempt, (attempt, body)
             return
-        wanted = b"".join(events(attempt))
-        assert body == wanted if whole else wanted.startswith(body), (attempt, body)
+        expected = b"".join(events(attempt))
+        assert body == expected if complete else expected.startswith(body), (attempt, body)
 
 
 @pytest.mark.parametrize("part", range(PARTS))
 @pytest.mark.parametrize("route_type", ["non_idempotent", "idempotent", "streaming"])
-def test_every_answer_is_the_callers_own_and_nothing_runs_twice(route_type, part):
+def test_every_response_is_the_callers_own_and_nothing_runs_twice(route_type, part):
     met = Counter()
 
     async def histories():
@@ -238,12 +237,14 @@
             met.update(history.met)
 
     asyncio.run(histories())
-    assert not [kind for kind in (*KINDS, "caller left") if not met[kind]], met
-    assert bool(met["run again"]) == (route_type == "idempotent"), "what may be repeated is"
+    assert not [kind for kind in (*KINDS, "caller disconnected") if not met[kind]], met
+    assert bool(met["run again"]) == (route_type == "idempotent"), (
+        "repeatable requests, and only these, run again"
+    )
 
 
-class PlannedWorker(StrikingWorker):
-    """Strikes its first answer in one given way at one given byte, and answers the later ones whole."""
+class PlannedWorker(FaultyWorker):
+    """Ends its first response in a given way at a given byte, and completes the later ones."""
 
     def __init__(self, kind, at, ran, streams=False):
         super().__init__("w1", Random(0), ran, Counter(), streams)
@@ -253,7 +254,7 @@
         head = await reader.readuntil(b"\r\n\r\n")
         attempt = header(head, b"Molespur-Attempt-Id")
         self.ran.append((attempt, self.name))
-        data = self.whole(head)
+        data = self.complete(head)
         if self.kind is None:
             writer.write(data)
             return True
@@ -267,34 +268,34 @@
 
 @pytest.mark.parametrize("kind", ["cut", "reset"])
 @pytest.mark.parametrize("streams", [False, True])
-def test_an_answer_that_ends_at_any_byte_is_not_taken_for_a_whole_one(kind, streams):
-    """And the request, which may not be repeated, is not sent again; the next one has its own answer."""
-    length = len(StrikingWorker("w", Random(0), [], Counter(), streams).whole(request(attempt=b"struck.0")))
+def test_a_response_truncated_at_any_byte_is_not_taken_for_complete(kind, streams):
+    """The request, which is not repeatable, is not sent again, and the next one gets its own response."""
+    length = len(FaultyWorker("w", Random(0), [], Counter(), streams).complete(request(attempt=b"broken.0")))
     route = configuration("streaming" if streams else "non_idempotent")
 
-    async def told(port, ran, name):
-        """(status, whole) of a request; one that is refused with a promise has not run, and is sent anew."""
-        for number in range(TRIES):
+    async def result(port, ran, name):
+        """(status, complete) of a request; one that is refused as not run is sent again."""
+        for number in range(MAX_TRIES):
             attempt = b"%s.%d" % (name, number)
             client = await Client.connect(port)
             await client.send(request(attempt=attempt))
             try:
-                status, _, _, whole = await client.response()
+                status, _, _, complete = await client.response()
             except (asyncio.IncompleteReadError, ConnectionError):
-                status, whole = None, False
+                status, complete = None, False
             client.writer.close()
-            if status not in PROMISES:
-                return status, whole
-            assert attempt not in [ran_attempt for ran_attempt, _ in ran], f"{status} for what ran"
-        raise AssertionError("refused again and again")
+            if status not in NOT_RUN_STATUSES:
+                return status, complete
+            assert attempt not in [ran_attempt for ran_attempt, _ in ran], f"{status} for a request that ran"
+        raise AssertionError("every try was refused as not run")
 
     async def one(at):
         ran = []
         async with data_plane(route, PlannedWorker(kind, at, ran, streams)) as (port, _):
-            status, whole = await told(port, ran, b"struck")
-            assert not (status == 200 and whole), at
-            assert await told(port, ran, b"next") == (200, True), at
-        assert [attempt.partition(b".")[0] for attempt, _ in ran] == [b"struck", b"next"]
+            status, complete = await result(port, ran, b"broken")
+            assert not (status == 200 and complete), at
+            assert await result(port, ran, b"next") == (200, True), at
+        assert [attempt.partition(b".")[0] for attempt, _ in ran] == [b"broken", b"next"]
 
     async def all_of_them():
         for at in range(length):
