--- a/molespur/policy/pair.py
+++ b/molespur/policy/pair.py
@@ -19,34 +19,30 @@
 DIRECT_TOKENS_PER_MS = 25.0
 FIRST_TOKEN_MS = 20.0
 PLAIN_RUN_MS = 40.0  # prior, until requests of the route have been served
-KV_TRANSFER_COST_MS = 20.0  # added to the cost of a plan that moves the KV cache between workers
-CROSS_ZONE_COST_MS = 12.0  # added to the cost of a plan for each call into another zone
+KV_TRANSFER_COST_MS = 20.0  # cost in the draw, beyond the forecast, of moving a KV cache between workers
+CROSS_ZONE_COST_MS = 12.0  # cost in the draw, beyond the forecast, of a call into another zone
 CROSS_ZONE_TRANSFER_FACTOR = 2.0  # the KV cache moves this much slower between zones
 WARM_PENALTY_MS = 120.0
 # a longer prefill stalls the streams of its decode worker and is allowed only without prefill workers
 MAX_DIRECT_PREFILL_MS = 80.0
-DIRECT_COST = 1.0  # cost (ms) of each ms of prefill at a decode worker
+DIRECT_COST = 1.0  # cost (ms) in the draw of each ms of prefill at a decode worker
 MAX_CANDIDATES = 8  # workers of a phase that are considered for one request
 MIN_MATCH_TOKENS = 3000.0  # a shorter shared prefix counts as this long, since it is soon prefilled
-PREFERRED_MATCH = (
-    0.9  # prefix match of the prefix's preferred worker: other schedulers may have sent it there
-)
+# prefix match that is assumed of a prefix's preferred worker: other schedulers may have sent the prefix there
+PREFERRED_MATCH = 0.9
 PREFERRED_CACHED_SHARE = 0.85  # share of a shared prefix that its preferred worker probably has cached
-REPEATED_PREFILL_COST_MS = (
-    0.02  # cost of each shared token that is prefilled at another than its preferred worker
-)
+REPEATED_PREFILL_COST_MS = 0.02  # for each shared token that is not prefilled at its preferred worker
 REFIT_INTERVAL_MS = 2000.0
 DUE_FORECASTS, DUE_SLACK_MS = 1.5, 100.0  # a first response is late after this many forecasts plus the slack
-MAX_CONTACT_AGE_MS = (
-    2500.0  # a worker silent to the control plane is used if own calls had bytes this recently
-)
+# a worker that is silent to the control plane is used if it sent bytes on own calls this recently
+MAX_CONTACT_AGE_MS = 2500.0
 PANIC_SHARE = 0.5  # with fewer workers than this share left, ejections are ignored
 PLAIN_RUN_GAIN = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class EngineShape:
-    """What the operator has configured for a service's model workers."""
+    """The model workers of a service, as the operator has configured them."""
 
     token_bytes: float
     bandwidth_mbps: float
@@ -55,7 +51,7 @@
 
 @dataclass(slots=True)
 class Demand:
-    """What a request needs.  Times are ms on the caller's clock."""
+    """What the policy has to know of a request.  Times are ms on the caller's clock."""
 
     route: str
     target_at: float
@@ -154,7 +150,7 @@
         source: WorkerTrack,
         avoid: Sequence[str],
     ) -> Step | None:
-        """Select the worker that takes the KV cache over from the prefill worker `source`."""
+        """Select the decode worker that takes the KV cache over from the prefill worker `source`."""
         usable = [w for w in self._usable(now, workers, avoid) if w.phase != "prefill"]
         steps = [self._decode_step(now, source, w, demand) for w in usable]
         if not steps:
--- a/molespur/policy/tracking.py
+++ b/molespur/policy/tracking.py
@@ -10,8 +10,7 @@
 EJECTION_FAILURES, MIN_EJECTION_MS, MAX_EJECTION_MS = 2.0, 1000.0, 6000.0
 PACE_GAIN, MIN_LOG_PACE, MAX_LOG_PACE = 0.06, -0.7, 2.3
 
-
-# Workers run short prefills first: a prefill's rank, 0 first, follows from its expected duration.
+# workers run short prefills first: the rank of a prefill, 0 first, follows from its expected duration
 RANK_MAX_PREFILL_MS = (0.0, 40.0, 80.0, 140.0, 260.0)  # longer prefills have the last rank
 RANKS = len(RANK_MAX_PREFILL_MS) + 1
 TYPICAL_PREFILL_TOKENS = (0.0, 1500.0, 3000.0, 5500.0, 10_000.0, 17_500.0)  # of one prefill of each rank
@@ -21,9 +20,7 @@
 
 def prefill_rank(prefill_ms):
     """The rank of a prefill by its duration."""
-    return next(
-        (rank for rank, longest in enumerate(RANK_MAX_PREFILL_MS) if prefill_ms <= longest), RANKS - 1
-    )
+    return next((rank for rank, max_ms in enumerate(RANK_MAX_PREFILL_MS) if prefill_ms <= max_ms), RANKS - 1)
 
 
 class ServingPhase(Enum):
@@ -71,11 +68,11 @@
     prefill_tokens: list = field(default_factory=lambda: [0.0] * RANKS)  # of own unfinished prefills, by rank
     peer_prefill_tokens: list = field(default_factory=lambda: [0.0] * RANKS)  # of peers' prefills, by rank
     peer_running: float = 0.0  # peers' unfinished calls
-    peer_scale: float = 0.0  # other schedulers per peer that sends its work; 0: none does, reports are used
+    # number of all other schedulers / of those that announce their work; 0: none does, and reports are used
+    peer_scale: float = 0.0
     unfinished: int = 0  # own calls
-    response_due_at: OrderedDict = field(
-        default_factory=OrderedDict
-    )  # own call without a first response -> when that is due
+    # own call without a first response -> when that is due
+    response_due_at: OrderedDict = field(default_factory=OrderedDict)
     report: LoadReport = field(default_factory=LoadReport)
     prefixes: OrderedDict = field(default_factory=OrderedDict)  # cached segment id -> tokens, in LRU order
     prefix_tokens: float = 0.0
@@ -106,7 +103,7 @@
 
     @property
     def unknown_peer_share(self):
-        """Share of the other schedulers whose work is unknown; 1 where none sends it."""
+        """Share of the other schedulers whose work is unknown; 1 if none announces its work."""
         return 1.0 - 1.0 / self.peer_scale if self.peer_scale else 1.0
 
     def other_requests(self, now):
--- a/molespur/system/data_plane/client_server.py
+++ b/molespur/system/data_plane/client_server.py
@@ -33,7 +33,7 @@
 
 
 class RequestTimer:
-    """Closes a connection that is idle for too long.  hypercorn starts and stops it."""
+    """Times the wait for a request; closes a connection that is idle for too long.  Driven by hypercorn."""
 
     def __init__(self, limits: Callable[[], Limits], close: Callable[[], None], loop):
         self._limits, self._close, self._loop = limits, close, loop
--- a/molespur/system/data_plane/figures.py
+++ b/molespur/system/data_plane/figures.py
@@ -33,28 +33,28 @@
         Metric(
             "answers",
             MetricKind.COUNTER,
-            "Responses to clients, by status and source: a worker, or an error kind of the data plane.",
+            "Answers to clients, by status and source: a worker, or an error kind of the data plane.",
             ("status", "source"),
             dict(counts.responses),
         ),
         Metric(
             "worker_calls",
             MetricKind.COUNTER,
-            "Calls to workers that have ended, by serving phase and outcome.",
+            "Calls to workers that have ended, by part and outcome.",
             ("part", "outcome"),
             dict(counts.calls),
         ),
         Metric(
             "answers_ended",
             MetricKind.COUNTER,
-            "Requests whose responses have ended, by the reason of the end.",
+            "Requests whose answers have ended, by what has ended them.",
             ("reason",),
             {(reason.value,): float(count) for reason, count in counts.ended.items()},
         ),
         Metric(
             "hedges",
             MetricKind.COUNTER,
-            "Second attempts beside silent ones: begun, won, or the reason of a refusal.",
+            "Second attempts beside silent ones: begun, won, or not begun and why.",
             ("service", "outcome"),
             {
                 (service, outcome): float(count)
@@ -63,23 +63,23 @@
             },
         ),
         counter("worker_connections_opened", "Connections opened to workers.", upstreams.total_opened),
-        gauge("open_requests", "Open requests of clients.", open_requests()),
+        gauge("open_requests", "Requests of clients under way.", open_requests()),
         gauge(
             "configuration_version", "Version in force; 0 before the first.", state.configuration_version()
         ),
-        gauge("schedulers", "Schedulers that the control plane has announced.", state.schedulers),
+        gauge("schedulers", "Schedulers that the control plane has told of.", state.schedulers),
         Metric(
             "workers", MetricKind.GAUGE, "Workers by service and state.", ("service", "state"), dict(workers)
         ),
-        Metric("unfinished_calls", MetricKind.GAUGE, "Open calls to workers.", ("service",), unfinished),
+        Metric("unfinished_calls", MetricKind.GAUGE, "Own calls under way.", ("service",), unfinished),
         Metric(
             "feed_offset",
             MetricKind.GAUGE,
-            "Offset up to which each shard's feed has been received.",
+            "Offset up to which each shard has been told.",
             ("shard",),
             {(group,): float(offset) for group, offset in follower.offsets.items()},
         ),
-        gauge("state_age_ms", "Changes acknowledged within this time may not be known here yet, ms.",
+        gauge("state_age_ms", "Time since which something may be acknowledged that is not known here, ms.",
               min(follower.age_ms(), MAX_AGE_MS)),
         gauge("config_age_ms", "The same for the configuration alone, ms.",
               min(follower.configuration_age_ms(), MAX_AGE_MS)),
--- a/molespur/system/data_plane/ingress.py
+++ b/molespur/system/data_plane/ingress.py
@@ -14,7 +14,7 @@
 from .state import DataPlaneState
 from .upstream import Upstreams
 
-MAX_STATE_WAIT_MS = 800.0  # of a request, for the first state or a fresh configuration from the feed
+MAX_STATE_WAIT_MS = 800.0  # of a request, for the feed's first state or a fresh configuration
 MAX_STATE_WAIT_SHARE = 0.25  # of the time until the request's deadline
 
 
@@ -118,11 +118,11 @@
 
     async def _wait_for_state(self, request: ClientRequest) -> None:
         """Wait a moment for the first state from the feed, just after the start of the process."""
-        if self.state.complete.is_set():
+        if self.state.first_state_received.is_set():
             return
         with suppress(TimeoutError):
             async with asyncio.timeout(_max_wait_s(request)):
-                await self.state.complete.wait()
+                await self.state.first_state_received.wait()
 
     async def _route(self, request: ClientRequest) -> tuple[Route, Service]:
         route = self._find_route(request)
@@ -144,8 +144,8 @@
     def _refusal(self, kind: ErrorKind) -> ErrorKind:
         """The error kind to respond with: no permanent refusal because of an old configuration.
 
-        A newer configuration that is not known here may have added the route or raised the limit, even longer
-        ago than changes are guaranteed to take to propagate.
+        A newer configuration that has not arrived here, although it was acknowledged longer ago than the
+        guaranteed propagation time, may have added the route or raised the limit.
         """
         if kind in REFUSED_BY_CONFIGURATION and not self.freshness.may_refuse():
             return ErrorKind.OLD_CONFIGURATION
--- a/molespur/system/data_plane/peer_work.py
+++ b/molespur/system/data_plane/peer_work.py
@@ -160,7 +160,7 @@
             peer.work[worker] = work
 
     def expire(self, now: float, schedulers: int) -> None:
-        """Drop the work of peers that have fallen silent.
+        """Drop the work of peers that have fallen silent, and update the workers' `peer_scale`.
 
         `schedulers`: the number of all schedulers, including this one.
         """
--- a/molespur/system/data_plane/role.py
+++ b/molespur/system/data_plane/role.py
@@ -17,7 +17,7 @@
 from .state import DataPlaneState
 from .upstream import Upstreams
 
-LEAVE_S = 2.4  # the platform removes a scheduler after two failed readiness checks, a second apart
+LEAVE_DELAY_S = 2.4  # the platform removes a scheduler after two failed readiness checks, a second apart
 GRACE_MARGIN_S = 0.8  # left of the grace period when open requests are aborted
 HOUSEKEEPING_INTERVAL_S = 0.5
 
@@ -69,7 +69,7 @@
             settings_watch.run(),
         )
         self._http = loop.create_task(imported("molespur.system.data_plane.http"))
-        grace_s = max(self.settings.bounds.grace_period_s - LEAVE_S - GRACE_MARGIN_S, 1.0)
+        grace_s = max(self.settings.bounds.grace_period_s - LEAVE_DELAY_S - GRACE_MARGIN_S, 1.0)
         ingress = loop.create_task(self._serve_clients(closing, grace_s))
         readiness = loop.create_task(self._serve_readiness(ended))
         leaving = loop.create_task(self._leave(stop, closing, ended, ingress, readiness))
@@ -95,7 +95,7 @@
         await stop.wait()
         logging.info("stopping with %d open requests", self.ingress.open_requests)
         self.stopping = self.ingress.stopping = True
-        await asyncio.sleep(min(LEAVE_S, self.settings.bounds.grace_period_s / 3))
+        await asyncio.sleep(min(LEAVE_DELAY_S, self.settings.bounds.grace_period_s / 3))
         self.follower.leave()
         closing.set()
         await ingress
--- a/molespur/system/data_plane/state.py
+++ b/molespur/system/data_plane/state.py
@@ -44,7 +44,9 @@
         self.meters: dict[str, LoadMeter] = {}
         self.hedge_gates: dict[str, HedgeGate] = {}
         self.schedulers = 0  # the highest number that the control plane has announced
-        self.complete = asyncio.Event()  # a configuration and a first snapshot of every shard are here
+        self.first_state_received = (
+            asyncio.Event()
+        )  # a configuration and a first snapshot of every shard are here
         self.by_hash: dict[int, WorkerTrack] = {}
         self.peer_work = PeerWorkTable(settings.node_name, self.by_hash)
         self.split_positions: dict[str, float] = {}  # route -> next position within the sum of its weights
@@ -64,7 +66,7 @@
         else:
             self._put_workers(group, snapshot, payload)
         if self.configuration is not None and all(name in self.groups for name in GROUPS):
-            self.complete.set()
+            self.first_state_received.set()
 
     def _put_workers(self, group: str, snapshot: bool, payload: bytes) -> None:
         workers = pb.WorkerSet.FromString(payload).workers
@@ -84,7 +86,7 @@
         try:
             parsed = configuration.parse(state.body)
         except FleetError as error:
-            logging.error("rejected configuration %d: %s", state.version, error)
+            logging.error("ignored invalid configuration %d: %s", state.version, error)
             return
         self.configuration = parsed
         self.routes = RouteTable(parsed)
