--- a/molespur/system/data_plane/answer_checks.py
+++ b/molespur/system/data_plane/answer_checks.py
@@ -28,7 +28,7 @@
 
 
 def is_framed(head: Head) -> bool:
-    """Whether the end of the body can be told from a broken connection."""
+    """Whether the end of the body is distinguishable from a broken connection."""
     return head.get(b"transfer-encoding") is not None or head.get(b"content-length") is not None
 
 
--- a/molespur/system/data_plane/client_server.py
+++ b/molespur/system/data_plane/client_server.py
@@ -29,7 +29,7 @@
 
     REQUEST = "request"  # idle: no byte of the next request has come
     HEAD = "head"  # a head has begun
-    RESPONSE = "response"  # a request is being served: no limit on the client applies
+    RESPONSE = "answer"  # a request is being served: no limit on the client applies
 
 
 class RequestTimer:
--- a/molespur/system/data_plane/exchange.py
+++ b/molespur/system/data_plane/exchange.py
@@ -1,7 +1,7 @@
 """The state machine of one client request, from its arrival to the end of its response.  Pure.
 
-Only this module decides, from how far each attempt came, whether something may be sent again and how the
-client may be answered.  `handle(now, event)` takes an event and returns the actions to take.  Times are ms.
+Only this module decides whether something may be sent again and how the client is answered, from how far
+each attempt came.  `handle(now, event)` takes an event and returns the actions to take.  Times are ms.
 
 A run is a call to a worker for the response.  A prefill at a separate worker is no run: it may be repeated.
 
--- a/molespur/system/data_plane/exchange_messages.py
+++ b/molespur/system/data_plane/exchange_messages.py
@@ -16,7 +16,7 @@
 
     NEW = "new"
     OPEN = "open"  # attempts are open; nothing has been sent to the client
-    RESPONDING = "responding"  # a part of the response has been sent to the client
+    RESPONDING = "answering"  # a part of the response has been sent to the client
     DONE = "done"
 
 
--- a/molespur/system/data_plane/load.py
+++ b/molespur/system/data_plane/load.py
@@ -20,7 +20,7 @@
     _full: bool = False  # the window has been filled once
 
     def record_prefill(self, now: float, tokens: float) -> None:
-        """A worker has been sent a prompt of which it has to prefill so many tokens."""
+        """A prompt has been sent to a worker that has to prefill `tokens` tokens of it."""
         self._prefills.append((now, tokens))
         self._tokens += tokens
         self._drop_old(now)
--- a/molespur/system/data_plane/reports.py
+++ b/molespur/system/data_plane/reports.py
@@ -40,7 +40,9 @@
             await asyncio.sleep(interval_s / max(len(targets), 1) * (0.8 + 0.4 * self.random.random()))
 
     async def _poll(self, service, track) -> None:
-        track.report.updated_at = self.clock()  # also a worker that does not reply is polled next in its turn
+        track.report.updated_at = (
+            self.clock()
+        )  # a worker that does not reply is polled again after all others
         with suppress(UpstreamError, TimeoutError, ValueError):
             async with asyncio.timeout(TIMEOUT_S):
                 headers = [(b"Host", track.address.encode())]
--- a/molespur/system/data_plane/upstream.py
+++ b/molespur/system/data_plane/upstream.py
@@ -1,6 +1,6 @@
 """Calls to workers through httpx: a transport for each worker, raw bytes both ways, no automatic retries.
 
-A call fails with `UpstreamError`, which has how far the call came.
+A call fails with `UpstreamError`, which states how far the call came.
 """
 
 from collections.abc import AsyncIterator
@@ -24,7 +24,7 @@
 
 
 class UpstreamError(Exception):
-    """A call has failed; `failure` is how far it came."""
+    """A call has failed; `failure` states how far it came."""
 
     def __init__(self, failure: Failure, detail: str):
         super().__init__(f"{failure.value}: {detail}")
--- a/tests/system/test_answers_and_callers.py
+++ b/tests/system/test_answers_and_callers.py
@@ -181,8 +181,8 @@
 
     async def _caller(self, port, number):
         client = None
-        for turn in range(4):
-            attempt = b"%d.%d" % (number, turn)
+        for index in range(4):
+            attempt = b"%d.%d" % (number, index)
             client = client or await Client.connect(port)
             size = self.random.choice((0, 0, 10, 200_000))
             disconnects = self.random.random() < 0.15
--- a/tests/system/test_hedging.py
+++ b/tests/system/test_hedging.py
@@ -33,14 +33,14 @@
     now = 10_000.0
     busy = busy_worker("w", last_received_at=now - 1)
     gate = HedgeGate(lambda: [busy])
-    begun = 0
+    started = 0
     for _ in range(1000):
         gate.count_request()
-        while gate.refusal(now, busy) is None and begun < 1000:
+        while gate.refusal(now, busy) is None and started < 1000:
             gate.count_started(now, busy)
-            begun += 1
+            started += 1
     assert gate.refusal(now, busy) is HedgeRefusal.SHARE_USED
-    assert begun == pytest.approx(1000 * HEDGES_PER_REQUEST, abs=2)
+    assert started == pytest.approx(1000 * HEDGES_PER_REQUEST, abs=2)
 
 
 def test_few_hedges_are_saved_up():
@@ -48,11 +48,11 @@
     gate = HedgeGate(lambda: [busy])
     for _ in range(10_000):
         gate.count_request()
-    begun = 0
-    while gate.refusal(10_000.0, busy) is None and begun < 1000:
+    started = 0
+    while gate.refusal(10_000.0, busy) is None and started < 1000:
         gate.count_started(10_000.0, busy)
-        begun += 1
-    assert begun == int(MAX_SAVED_HEDGES)
+        started += 1
+    assert started == int(MAX_SAVED_HEDGES)
 
 
 def test_the_share_does_not_limit_hedges_beside_an_unresponsive_worker():
