--- a/benchmarks/hedging.py
+++ b/benchmarks/hedging.py
@@ -84,24 +84,33 @@
 
     def install(self) -> None:
         """Put these ages in place of the multiples of the forecast."""
-        first, heard, shared = worker_call.WorkerCall._first_answer, worker_call.WorkerCall._heard, self
+        first, heard, shared = (
+            worker_call.WorkerCall._on_first_response,
+            worker_call.WorkerCall._on_bytes_received,
+            self,
+        )
 
         def first_answer(call):
             first(call)
-            insort(shared.ratios, (call.first_at - call.begun) / max(call.step.forecast, 1.0))
+            insort(
+                shared.ratios, (call.first_response_at - call.started_at) / max(call.step.forecast_ms, 1.0)
+            )
 
         def any_answer(call):
-            if call.first_at is not None:
-                insort(shared.pauses_ms, call.clock() - call.last_heard)
+            if call.first_response_at is not None:
+                insort(shared.pauses_ms, call.clock() - call.last_received_at)
             heard(call)
 
-        worker_call.WorkerCall._first_answer, worker_call.WorkerCall._heard = first_answer, any_answer
+        worker_call.WorkerCall._on_first_response, worker_call.WorkerCall._on_bytes_received = (
+            first_answer,
+            any_answer,
+        )
         worker_call.silence_age_s = self._age_s
 
     def _age_s(self, step, forecasts: float, least_ms: float) -> float:
         if len(self.ratios) < self.LEAST:
             return self._plain(step, forecasts, least_ms)
-        return max(self._at(self.ratios) * step.forecast, GAP_MS) / 1000.0
+        return max(self._at(self.ratios) * step.forecast_ms, GAP_MS) / 1000.0
 
     def _at(self, ordered: list[float]) -> float:
         return ordered[int(self.QUANTILE * len(ordered))]
@@ -111,8 +120,8 @@
         while True:
             await asyncio.sleep(self.EVERY_S)
             if len(self.pauses_ms) >= self.LEAST:
-                worker_call.PAUSES = 0.0
-                worker_call.LEAST_PAUSE_MS = max(self._at(self.pauses_ms), GAP_MS)
+                worker_call.SILENT_AFTER_GAPS = 0.0
+                worker_call.MIN_STREAM_SILENCE_MS = max(self._at(self.pauses_ms), GAP_MS)
 
 
 class Worker(ScriptedWorker):
@@ -205,8 +214,8 @@
     for ingress in ingresses:
         node = ingress.state.settings.node_name
         peers = PeerSocket(addresses[node], ingress.state.peer_work, clock)
-        peers.schedulers = lambda: len(ingresses)
-        peers.name_peers(peers_of(node, addresses))
+        peers.count_schedulers = lambda: len(ingresses)
+        peers.set_peers(peers_of(node, addresses))
         stack.callback(asyncio.create_task(peers.run()).cancel)
 
 
--- a/molespur/system/data_plane/figures.py
+++ b/molespur/system/data_plane/figures.py
@@ -1,4 +1,4 @@
-"""The figures of a data-plane process."""
+"""The metrics of a data-plane process."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 from .state import DataPlaneState
 from .upstream import Upstreams
 
-MAX_AGE_MS = 1e9  # shown where nothing is certain
+MAX_AGE_MS = 1e9  # exposed while the age is unknown
 
 
 def metrics(
@@ -20,7 +20,7 @@
     follower: FeedFollower,
     open_requests: Callable[[], int],
 ) -> list[Metric]:
-    """All figures as they are now."""
+    """All metrics with their current values."""
     workers = Counter()
     for service, tracks in state.workers.items():
         for track in tracks.values():
@@ -35,7 +35,7 @@
             MetricKind.COUNTER,
             "Answers to clients, by status and source: a worker, or an error kind of the data plane.",
             ("status", "source"),
-            dict(counts.answers),
+            dict(counts.responses),
         ),
         Metric(
             "worker_calls",
@@ -62,7 +62,7 @@
                 for outcome, count in gate.outcomes.items()
             },
         ),
-        counter("worker_connections_opened", "Connections opened to workers.", upstreams.opened),
+        counter("worker_connections_opened", "Connections opened to workers.", upstreams.total_opened),
         gauge("open_requests", "Requests of clients under way.", open_requests()),
         gauge(
             "configuration_version", "Version in force; 0 before the first.", state.configuration_version()
