--- a/molespur/system/control_plane/calls.py
+++ b/molespur/system/control_plane/calls.py
@@ -21,7 +21,7 @@
 from absl import logging
 
 from ..errors import ErrorKind, FleetError
-from ..faults import FaultPoint, strike
+from ..faults import FaultPoint, trigger
 from ..membership.schedulers import SchedulerMonitor
 from ..rpc import molespur_pb2 as pb
 from ..rpc.channel import Channel
@@ -178,9 +178,9 @@
         command = pb.PutConfiguration(
             version=parsed.version, base_version=base_version, digest=digest, body=body
         )
-        strike(FaultPoint.BEFORE_PROPOSAL)
+        trigger(FaultPoint.BEFORE_PROPOSAL)
         outcome = await self.host.propose(CONFIGURATION, command.SerializeToString())
-        strike(FaultPoint.BEFORE_ACKNOWLEDGEMENT)
+        trigger(FaultPoint.BEFORE_ACKNOWLEDGEMENT)
         if outcome is PutOutcome.MISMATCH:
             raise FleetError(ErrorKind.VERSION_MISMATCH, f"current version is {machine.version}")
         if outcome is PutOutcome.NOT_NEWER:
--- a/molespur/system/data_plane/upstream.py
+++ b/molespur/system/data_plane/upstream.py
@@ -9,7 +9,7 @@
 import httpcore
 import httpx
 
-from ..faults import FaultPoint, strike
+from ..faults import FaultPoint, trigger
 from .exchange_messages import Failure
 from .pool import ConnectionPool
 
@@ -150,14 +150,14 @@
         transport = self._transport(address, connections)
         extensions = {"target": target, "timeout": {}, "repeatable": repeatable}
         request = httpx.Request(method, transport.url, headers=headers, content=body, extensions=extensions)
-        strike(FaultPoint.BEFORE_CONNECT)
+        trigger(FaultPoint.BEFORE_CONNECT)
         try:
             response = await transport.handle_async_request(request)
         except NOT_SENT_ERRORS as error:
             raise UpstreamError(Failure.NOT_SENT, repr(error)) from error
         except BROKEN_ERRORS as error:
             raise UpstreamError(Failure.MAY_HAVE_RUN, repr(error)) from error
-        strike(FaultPoint.AFTER_SEND)
+        trigger(FaultPoint.AFTER_SEND)
         return UpstreamResponse(response)
 
     def trim(self) -> None:
--- a/molespur/system/data_plane/worker_call.py
+++ b/molespur/system/data_plane/worker_call.py
@@ -11,7 +11,7 @@
 
 from ...policy.pair import Demand, Step
 from ...policy.tracking import Part
-from ..faults import FaultPoint, strike
+from ..faults import FaultPoint, trigger
 from ..settings.configuration import STREAMING, Route, Service
 from .answer_checks import check_head, is_framed, read_handle
 from .client_answer import ClientAnswer
@@ -202,7 +202,7 @@
         self.handle = read_handle(body)
         self._heard()
         self._first_answer()
-        strike(FaultPoint.AFTER_PREFILL)
+        trigger(FaultPoint.AFTER_PREFILL)
         return PromptRead(self.attempt, self.handle)
 
     async def _run(self) -> Event:
@@ -220,7 +220,7 @@
         response = await self._call(extra)
         self.taken_up = True
         try:
-            strike(FaultPoint.AFTER_HEAD)
+            trigger(FaultPoint.AFTER_HEAD)
             self.shared.answer.check_continues(response.head)
             if route.type == STREAMING and 200 <= response.head.status < 300:
                 return await self._relay_events(response, last_id)
@@ -264,10 +264,10 @@
                 if not follows(whole, last_id):
                     raise UpstreamError(Failure.MAY_HAVE_RUN, "events that the client has already")
             await self._forward(head, whole, events)
-            strike(FaultPoint.BETWEEN_EVENTS)
+            trigger(FaultPoint.BETWEEN_EVENTS)
         if not is_framed(head):
             raise UpstreamError(Failure.MAY_HAVE_RUN, "a stream without framing may be cut short")
-        strike(FaultPoint.AFTER_LAST_EVENT)
+        trigger(FaultPoint.AFTER_LAST_EVENT)
         self._goes_on()
         await answer.end_stream(head, events.rest())
         return AnswerEnded(self.attempt)
--- a/molespur/system/faults.py
+++ b/molespur/system/faults.py
@@ -25,7 +25,7 @@
 _armed: dict[FaultPoint, Callable[[], None]] = {}
 
 
-def strike(point: FaultPoint) -> None:
+def trigger(point: FaultPoint) -> None:
     """Fail here if a test says so."""
     if _armed and point in _armed:
         _armed[point]()
--- a/molespur/system/storage/store.py
+++ b/molespur/system/storage/store.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from ..consensus.replica import HardState, Persist, Snapshot
-from ..faults import FaultPoint, strike
+from ..faults import FaultPoint, trigger
 from ..rpc import molespur_pb2 as pb
 
 SCHEMA = """
@@ -84,13 +84,13 @@
         try:
             for group, record in records:
                 self._write_one(cursor, group, record)
-            strike(FaultPoint.BEFORE_COMMIT)
+            trigger(FaultPoint.BEFORE_COMMIT)
             cursor.execute("commit")
         except sqlite3.Error:
             if cursor.in_transaction:
                 cursor.execute("rollback")
             raise
-        strike(FaultPoint.AFTER_COMMIT)
+        trigger(FaultPoint.AFTER_COMMIT)
 
     @staticmethod
     def _write_one(cursor: sqlite3.Connection, group: str, record: Persist) -> None:
