--- a/molespur/system/control_plane/calls.py
+++ b/molespur/system/control_plane/calls.py
@@ -101,7 +101,7 @@
         try:
             reply.body = await self._carry_out(call)
         except FleetError as error:
-            reply.status = error.answer.status
+            reply.status = error.response.status
         channel.send(pb.Frame(reply=reply))
 
     async def _carry_out(self, call: pb.Call) -> bytes:
--- a/molespur/system/control_plane/http.py
+++ b/molespur/system/control_plane/http.py
@@ -18,7 +18,7 @@
 
 def refusal(error: FleetError) -> Response:
     """The answer that an error calls for: its status and one line."""
-    return Response(f"{error.detail or error.kind.value}\n", error.answer.status, content_type="text/plain")
+    return Response(f"{error.detail or error.kind.value}\n", error.response.status, content_type="text/plain")
 
 
 def create_app(calls: ControlCalls, metrics: Callable[[], list[Metric]]) -> Quart:
--- a/molespur/system/data_plane/client_server.py
+++ b/molespur/system/data_plane/client_server.py
@@ -16,7 +16,7 @@
 from hypercorn.events import Closed, Event, RawData
 
 from .. import early_listener
-from ..errors import ANSWERS, ErrorKind
+from ..errors import ERROR_RESPONSES, ErrorKind
 from ..serving import http_config
 from ..settings.configuration import Limits
 
@@ -165,7 +165,7 @@
 
 def closing_answer(kind: ErrorKind) -> bytes:
     """An answer of an error kind, in bytes, after which the connection closes."""
-    status = ANSWERS[kind].status
+    status = ERROR_RESPONSES[kind].status
     lines = (
         b"HTTP/1.1 %d %s" % (status, REASONS[status]),
         b"content-length: 0",
--- a/molespur/system/data_plane/serving_context.py
+++ b/molespur/system/data_plane/serving_context.py
@@ -5,7 +5,7 @@
 from contextlib import suppress
 from itertools import count
 
-from ..errors import ANSWERS, ErrorKind
+from ..errors import ERROR_RESPONSES, ErrorKind
 from ..settings.configuration import Service
 from .request_counts import RequestCounts
 from .state import DataPlaneState
@@ -26,7 +26,7 @@
 
     async def answer(self, send, kind: ErrorKind) -> None:
         """Answer by ourselves."""
-        answer = ANSWERS[kind]
+        answer = ERROR_RESPONSES[kind]
         self.counts.answers[str(answer.status), kind.value] += 1
         headers = [(b"content-length", b"0")]
         if answer.retry_after_s is not None:
--- a/molespur/system/errors.py
+++ b/molespur/system/errors.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class ErrorResponse:
     """What a caller is told: a status, and whether it promises that the request did not and will not run."""
 
     status: int
@@ -42,27 +42,27 @@
     retry_after_s: float | None = None
 
 
-ANSWERS = {
-    ErrorKind.MALFORMED: Answer(400),
-    ErrorKind.HEADERS_TOO_LARGE: Answer(431),
-    ErrorKind.HEADERS_TOO_SLOW: Answer(408, promises_not_run=True),
-    ErrorKind.BODY_TOO_LARGE: Answer(413),
-    ErrorKind.BODY_TOO_SLOW: Answer(408, promises_not_run=True),
-    ErrorKind.NO_ROUTE: Answer(404),
-    ErrorKind.NO_CONFIGURATION: Answer(503, promises_not_run=True, retry_after_s=0.7),
-    ErrorKind.OLD_CONFIGURATION: Answer(503, promises_not_run=True, retry_after_s=0.3),
-    ErrorKind.STOPPING: Answer(503, promises_not_run=True, retry_after_s=0.05),
-    ErrorKind.NO_WORKER: Answer(503, promises_not_run=True, retry_after_s=0.2),
-    ErrorKind.OVERLOADED: Answer(503, promises_not_run=True, retry_after_s=0.25),
-    ErrorKind.OUT_OF_TIME_UNSENT: Answer(503, promises_not_run=True, retry_after_s=0.2),
-    ErrorKind.REJECTED: Answer(503, promises_not_run=True, retry_after_s=0.1),
-    ErrorKind.MAY_HAVE_RUN: Answer(502),
-    ErrorKind.OUT_OF_TIME: Answer(504),
-    ErrorKind.UNREADABLE: Answer(400),
-    ErrorKind.INVALID_CONFIGURATION: Answer(400),
-    ErrorKind.VERSION_MISMATCH: Answer(412),
-    ErrorKind.NO_LEADER: Answer(503),
-    ErrorKind.OUTCOME_UNKNOWN: Answer(503),
+ERROR_RESPONSES = {
+    ErrorKind.MALFORMED: ErrorResponse(400),
+    ErrorKind.HEADERS_TOO_LARGE: ErrorResponse(431),
+    ErrorKind.HEADERS_TOO_SLOW: ErrorResponse(408, promises_not_run=True),
+    ErrorKind.BODY_TOO_LARGE: ErrorResponse(413),
+    ErrorKind.BODY_TOO_SLOW: ErrorResponse(408, promises_not_run=True),
+    ErrorKind.NO_ROUTE: ErrorResponse(404),
+    ErrorKind.NO_CONFIGURATION: ErrorResponse(503, promises_not_run=True, retry_after_s=0.7),
+    ErrorKind.OLD_CONFIGURATION: ErrorResponse(503, promises_not_run=True, retry_after_s=0.3),
+    ErrorKind.STOPPING: ErrorResponse(503, promises_not_run=True, retry_after_s=0.05),
+    ErrorKind.NO_WORKER: ErrorResponse(503, promises_not_run=True, retry_after_s=0.2),
+    ErrorKind.OVERLOADED: ErrorResponse(503, promises_not_run=True, retry_after_s=0.25),
+    ErrorKind.OUT_OF_TIME_UNSENT: ErrorResponse(503, promises_not_run=True, retry_after_s=0.2),
+    ErrorKind.REJECTED: ErrorResponse(503, promises_not_run=True, retry_after_s=0.1),
+    ErrorKind.MAY_HAVE_RUN: ErrorResponse(502),
+    ErrorKind.OUT_OF_TIME: ErrorResponse(504),
+    ErrorKind.UNREADABLE: ErrorResponse(400),
+    ErrorKind.INVALID_CONFIGURATION: ErrorResponse(400),
+    ErrorKind.VERSION_MISMATCH: ErrorResponse(412),
+    ErrorKind.NO_LEADER: ErrorResponse(503),
+    ErrorKind.OUTCOME_UNKNOWN: ErrorResponse(503),
 }
 """The one table from kind to answer.  `BAD_SETTINGS` ends the process and has no answer."""
 
@@ -83,6 +83,6 @@
         self.kind, self.detail = kind, detail
 
     @property
-    def answer(self) -> Answer:
+    def response(self) -> ErrorResponse:
         """What the caller is told."""
-        return ANSWERS[self.kind]
+        return ERROR_RESPONSES[self.kind]
--- a/tests/system/test_configuration.py
+++ b/tests/system/test_configuration.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from molespur.system.errors import ANSWERS, ErrorKind, FleetError
+from molespur.system.errors import ERROR_RESPONSES, ErrorKind, FleetError
 from molespur.system.rpc import molespur_pb2 as pb
 from molespur.system.settings import configuration
 from molespur.system.shards.configuration import ConfigurationMachine, PutOutcome
@@ -81,7 +81,7 @@
     with pytest.raises(FleetError) as problem:
         configuration.parse(body.encode())
     assert problem.value.kind is kind and field in problem.value.detail and "\n" not in problem.value.detail
-    assert 400 <= ANSWERS[kind].status < 500
+    assert 400 <= ERROR_RESPONSES[kind].status < 500
 
 
 def test_unknown_keys_are_passed_over():
--- a/tests/system/test_process_settings.py
+++ b/tests/system/test_process_settings.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from molespur.system.errors import ANSWERS, ErrorKind, FleetError
+from molespur.system.errors import ERROR_RESPONSES, ErrorKind, FleetError
 from molespur.system.settings import process
 
 SETTINGS = """
@@ -40,5 +40,5 @@
 
 
 def test_every_error_kind_but_bad_settings_has_an_answer():
-    assert set(ErrorKind) - set(ANSWERS) == {ErrorKind.BAD_SETTINGS}
-    assert all(a.status in (503, 408) for a in ANSWERS.values() if a.promises_not_run)
+    assert set(ErrorKind) - set(ERROR_RESPONSES) == {ErrorKind.BAD_SETTINGS}
+    assert all(a.status in (503, 408) for a in ERROR_RESPONSES.values() if a.promises_not_run)
--- a/tests/system/wrong_process.py
+++ b/tests/system/wrong_process.py
@@ -44,7 +44,7 @@
 
 
 def promises() -> None:
-    errors.ANSWERS[errors.ErrorKind.MAY_HAVE_RUN] = errors.ANSWERS[errors.ErrorKind.REJECTED]
+    errors.ERROR_RESPONSES[errors.ErrorKind.MAY_HAVE_RUN] = errors.ERROR_RESPONSES[errors.ErrorKind.REJECTED]
 
 
 def answers_others() -> None:
