--- a/molespur/system/errors.py
+++ b/molespur/system/errors.py
@@ -38,24 +38,24 @@
     """What a caller is told: a status, and whether it promises that the request did not and will not run."""
 
     status: int
-    promises_not_run: bool = False
+    guarantees_not_run: bool = False
     retry_after_s: float | None = None
 
 
 ERROR_RESPONSES = {
     ErrorKind.MALFORMED: ErrorResponse(400),
     ErrorKind.HEADERS_TOO_LARGE: ErrorResponse(431),
-    ErrorKind.HEADERS_TOO_SLOW: ErrorResponse(408, promises_not_run=True),
+    ErrorKind.HEADERS_TOO_SLOW: ErrorResponse(408, guarantees_not_run=True),
     ErrorKind.BODY_TOO_LARGE: ErrorResponse(413),
-    ErrorKind.BODY_TOO_SLOW: ErrorResponse(408, promises_not_run=True),
+    ErrorKind.BODY_TOO_SLOW: ErrorResponse(408, guarantees_not_run=True),
     ErrorKind.NO_ROUTE: ErrorResponse(404),
-    ErrorKind.NO_CONFIGURATION: ErrorResponse(503, promises_not_run=True, retry_after_s=0.7),
-    ErrorKind.OLD_CONFIGURATION: ErrorResponse(503, promises_not_run=True, retry_after_s=0.3),
-    ErrorKind.STOPPING: ErrorResponse(503, promises_not_run=True, retry_after_s=0.05),
-    ErrorKind.NO_WORKER: ErrorResponse(503, promises_not_run=True, retry_after_s=0.2),
-    ErrorKind.OVERLOADED: ErrorResponse(503, promises_not_run=True, retry_after_s=0.25),
-    ErrorKind.OUT_OF_TIME_UNSENT: ErrorResponse(503, promises_not_run=True, retry_after_s=0.2),
-    ErrorKind.REJECTED: ErrorResponse(503, promises_not_run=True, retry_after_s=0.1),
+    ErrorKind.NO_CONFIGURATION: ErrorResponse(503, guarantees_not_run=True, retry_after_s=0.7),
+    ErrorKind.OLD_CONFIGURATION: ErrorResponse(503, guarantees_not_run=True, retry_after_s=0.3),
+    ErrorKind.STOPPING: ErrorResponse(503, guarantees_not_run=True, retry_after_s=0.05),
+    ErrorKind.NO_WORKER: ErrorResponse(503, guarantees_not_run=True, retry_after_s=0.2),
+    ErrorKind.OVERLOADED: ErrorResponse(503, guarantees_not_run=True, retry_after_s=0.25),
+    ErrorKind.OUT_OF_TIME_UNSENT: ErrorResponse(503, guarantees_not_run=True, retry_after_s=0.2),
+    ErrorKind.REJECTED: ErrorResponse(503, guarantees_not_run=True, retry_after_s=0.1),
     ErrorKind.MAY_HAVE_RUN: ErrorResponse(502),
     ErrorKind.OUT_OF_TIME: ErrorResponse(504),
     ErrorKind.UNREADABLE: ErrorResponse(400),
--- a/tests/system/test_exchange.py
+++ b/tests/system/test_exchange.py
@@ -107,7 +107,7 @@
     request = exchange(pair=False)
     begin(request)
     ends_with(fails(request, 10, Failure.MAY_HAVE_RUN), ErrorKind.MAY_HAVE_RUN)
-    assert not ERROR_RESPONSES[ErrorKind.MAY_HAVE_RUN].promises_not_run
+    assert not ERROR_RESPONSES[ErrorKind.MAY_HAVE_RUN].guarantees_not_run
 
 
 def test_what_may_be_repeated_is_sent_again_up_to_the_attempts_of_its_route():
@@ -122,7 +122,7 @@
     request = exchange(pair=False, budget=0)
     begin(request)
     ends_with(fails(request, 10, Failure.REJECTED), ErrorKind.REJECTED)
-    assert ERROR_RESPONSES[ErrorKind.REJECTED].promises_not_run
+    assert ERROR_RESPONSES[ErrorKind.REJECTED].guarantees_not_run
 
 
 def test_a_connection_that_did_not_come_up_costs_no_repeat():
@@ -186,8 +186,8 @@
     ends_with(begin(request), ErrorKind.NO_WORKER)
     request = exchange()
     ends_with(begin(request, 2990), ErrorKind.OUT_OF_TIME_UNSENT)
-    assert ERROR_RESPONSES[ErrorKind.NO_WORKER].promises_not_run
-    assert ERROR_RESPONSES[ErrorKind.OUT_OF_TIME_UNSENT].promises_not_run
+    assert ERROR_RESPONSES[ErrorKind.NO_WORKER].guarantees_not_run
+    assert ERROR_RESPONSES[ErrorKind.OUT_OF_TIME_UNSENT].guarantees_not_run
 
 
 def test_a_request_without_a_chance_is_refused_at_once():
@@ -215,7 +215,7 @@
         may_have_run |= failure is Failure.MAY_HAVE_RUN
         action = fails(request, 20, failure)
     if isinstance(action, machine.Answer):
-        assert not (may_have_run and ERROR_RESPONSES[action.kind].promises_not_run)
+        assert not (may_have_run and ERROR_RESPONSES[action.kind].guarantees_not_run)
     else:
         assert not may_have_run, "a stream that may not be resumed was sent again"
 
@@ -433,7 +433,7 @@
         match self.final:
             case machine.Answer(kind):
                 assert self.progressed is None, "an answer of our own after a part of a worker's"
-                assert not (self.ran and ERROR_RESPONSES[kind].promises_not_run)
+                assert not (self.ran and ERROR_RESPONSES[kind].guarantees_not_run)
             case machine.Cut():
                 assert self.progressed is not None
             case machine.Finish():
--- a/tests/system/test_process_settings.py
+++ b/tests/system/test_process_settings.py
@@ -41,4 +41,4 @@
 
 def test_every_error_kind_but_bad_settings_has_an_answer():
     assert set(ErrorKind) - set(ERROR_RESPONSES) == {ErrorKind.BAD_SETTINGS}
-    assert all(a.status in (503, 408) for a in ERROR_RESPONSES.values() if a.promises_not_run)
+    assert all(a.status in (503, 408) for a in ERROR_RESPONSES.values() if a.guarantees_not_run)
