--- a/molespur/system/client/schedulers.py
+++ b/molespur/system/client/schedulers.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Iterable
 
-from ..control_plane.methods import SCHEDULERS
+from ..control_plane.methods import LIST_SCHEDULERS
 from ..errors import ErrorKind, FleetError
 from ..rpc import molespur_pb2 as pb
 from .connection import first_answer, open_channel
@@ -25,7 +25,7 @@
             replied.set_result(frame.reply)
 
     async with open_channel(address, on_frame, lost) as channel:
-        channel.send(pb.Frame(call=pb.Call(id=1, method=SCHEDULERS)))
+        channel.send(pb.Frame(call=pb.Call(id=1, method=LIST_SCHEDULERS)))
         reply = await asyncio.wait_for(replied, ANSWER_S)
     if reply.status != OK:
         raise FleetError(ErrorKind.NO_LEADER, f"{address}: {reply.status}: an older release?")
--- a/molespur/system/control_plane/calls.py
+++ b/molespur/system/control_plane/calls.py
@@ -31,7 +31,7 @@
 from ..shards.host import ReplicaHost
 from ..shards.placement import CONFIGURATION, WORKER_GROUPS, group_of_service
 from ..workers.liveness import WorkerLiveness
-from .methods import LEADS, PUT_WORKER, READ_INDEX, REMOVE_WORKER, SCHEDULERS
+from .methods import IS_LEADER, LIST_SCHEDULERS, PUT_WORKER, READ_INDEX, REMOVE_WORKER
 
 STATES = {"ready": pb.READY, "draining": pb.DRAINING}
 OK = 200
@@ -106,13 +106,13 @@
 
     async def _carry_out(self, call: pb.Call) -> bytes:
         """The body of the reply to a call.  Raises FleetError."""
-        if call.method == SCHEDULERS:
+        if call.method == LIST_SCHEDULERS:
             return self._known_schedulers().SerializeToString()
         if call.subject not in self.host.groups:
             raise FleetError(ErrorKind.MALFORMED, call.subject)
         if not self.host.leads(call.subject):
             raise FleetError(ErrorKind.NO_LEADER, call.subject)
-        if call.method == LEADS:
+        if call.method == IS_LEADER:
             self._must_be_in_touch(call.subject)
             return b""
         if call.method == READ_INDEX:
@@ -202,7 +202,7 @@
         leader = self.host.leader(CONFIGURATION)
         if leader is None:
             raise FleetError(ErrorKind.NO_LEADER, CONFIGURATION)
-        reply = await self.peers.call(leader.rpc_address, LEADS, CONFIGURATION, answer_s=REDIRECT_S)
+        reply = await self.peers.call(leader.rpc_address, IS_LEADER, CONFIGURATION, answer_s=REDIRECT_S)
         if reply.status != OK:
             raise FleetError(ErrorKind.NO_LEADER, CONFIGURATION)
         return leader.control_address
--- a/molespur/system/control_plane/methods.py
+++ b/molespur/system/control_plane/methods.py
@@ -3,5 +3,5 @@
 PUT_WORKER = "put-worker"
 REMOVE_WORKER = "remove-worker"
 READ_INDEX = "read-index"
-LEADS = "leads"
-SCHEDULERS = "schedulers"
+IS_LEADER = "leads"
+LIST_SCHEDULERS = "schedulers"
--- a/tests/system/mutations/breaks.py
+++ b/tests/system/mutations/breaks.py
@@ -227,7 +227,7 @@
           "        self._loop.call_later(QUIET_S, self._look)\n        sock", "        sock",
           (TESTS + "test_channel_liveness.py",)),
     Break("a redirect by words heard", "molespur/system/control_plane/calls.py",
-          "reply = await self.peers.call(leader.rpc_address, LEADS, CONFIGURATION, answer_s=REDIRECT_S)",
+          "reply = await self.peers.call(leader.rpc_address, IS_LEADER, CONFIGURATION, answer_s=REDIRECT_S)",
           "reply = pb.Reply(status=OK)", REDIRECT_TESTS),
     Break("a leader that says that it leads whoever answers it", "molespur/system/control_plane/calls.py",
           "            self._must_be_in_touch(call.subject)\n", "            pass\n",
--- a/tests/system/test_orders.py
+++ b/tests/system/test_orders.py
@@ -7,7 +7,7 @@
 import pytest
 from control import OneControlPlane
 
-from molespur.system.control_plane.methods import LEADS
+from molespur.system.control_plane.methods import IS_LEADER
 from molespur.system.control_plane.orders import HANDOVER_MS, PhaseOrders
 from molespur.system.rpc import molespur_pb2 as pb
 from molespur.system.shards.placement import CONFIGURATION, group_of_service
@@ -254,7 +254,7 @@
         def send(self, frame):
             self.sent.append(frame.reply.status)
 
-    call = pb.Call(id=1, method=LEADS, subject=CONFIGURATION)
+    call = pb.Call(id=1, method=IS_LEADER, subject=CONFIGURATION)
     plane.loop.run_until_complete(plane.calls.answer(Pipe(), call))
     plane.host.in_touch = lambda _name: False
     plane.loop.run_until_complete(plane.calls.answer(Pipe(), call))
