--- a/molespur/system/control_plane/calls.py
+++ b/molespur/system/control_plane/calls.py
@@ -125,7 +125,7 @@
 
     def _known_schedulers(self) -> pb.SchedulerList:
         """Which schedulers this process knows of, and what configuration each one has."""
-        known = pb.SchedulerList(schedulers=self.schedulers.heard_lately(self.clock()))
+        known = pb.SchedulerList(schedulers=self.schedulers.recent_schedulers(self.clock()))
         known.configuration_version = self.host.groups[CONFIGURATION].machine.version
         return known
 
--- a/molespur/system/membership/schedulers.py
+++ b/molespur/system/membership/schedulers.py
@@ -66,7 +66,7 @@
         everyone.update({beat.node: beat for beat in self.own(now)})
         return everyone
 
-    def heard_lately(self, now: float) -> list[pb.HeardScheduler]:
+    def recent_schedulers(self, now: float) -> list[pb.HeardScheduler]:
         """All schedulers that are alive, with the time since their word came here (ms)."""
         alive = self.alive(now)
         return [
--- a/tests/system/test_operator_client.py
+++ b/tests/system/test_operator_client.py
@@ -132,9 +132,9 @@
     monitor = SchedulerMonitor()
     monitor.heartbeat(1000.0, pb.SchedulerHeartbeat(node="e-1", configuration_version=4))
     monitor.report(1300.0, pb.MonitorReport(alive=[pb.SchedulerHeartbeat(node="e-2")]))
-    known = monitor.heard_lately(1500.0)
+    known = monitor.recent_schedulers(1500.0)
     assert [(told.heartbeat.node, told.heard_ms_ago) for told in known] == [("e-1", 500), ("e-2", 200)]
-    assert monitor.heard_lately(60_000.0) == []
+    assert monitor.recent_schedulers(60_000.0) == []
 
 
 # -- Configuration ---------------------------------------------------------------------------------
