--- a/molespur/system/workers/phases.py
+++ b/molespur/system/workers/phases.py
@@ -39,7 +39,7 @@
     def __init__(self):
         self.wanted_since: float | None = None
         self.direction = 0
-        self.turned_at = float("-inf")
+        self.last_order_at = float("-inf")
         self.ordered_at: dict[str, float] = {}
         self.loaded = False  # some traffic has been seen
         self.lacking = 0.0  # readers that are wanted beyond those there are, when last looked at
@@ -72,7 +72,7 @@
         short = direction < 0 and self._short(alive, load)
         if self.wanted_since is None or direction != self.direction:
             turns = self.direction and direction != self.direction
-            if turns and not short and now - self.turned_at < REVERSE_MS:
+            if turns and not short and now - self.last_order_at < REVERSE_MS:
                 return None
             self.wanted_since, self.direction = now, direction
         settle = SETTLE_MS if self.ordered_at and not short else FIRST_SETTLE_MS
@@ -98,7 +98,7 @@
             return None
         same = Counter(worker.zone for worker in alive if worker.phase != phase)
         worker = max(free, key=lambda w: (same[w.zone], w.id))
-        self.ordered_at[worker.id] = self.turned_at = now
+        self.ordered_at[worker.id] = self.last_order_at = now
         return PhaseOrder(worker, phase)
 
 
--- a/tests/system/mutations/breaks.py
+++ b/tests/system/mutations/breaks.py
@@ -173,8 +173,8 @@
     Break("a worker that is blamed for being overtaken", "molespur/policy/pair.py",
           "step.worker.suspect(now)", "step.worker.failed(now, 2.0)", (TESTS + "test_hedging.py",)),
     Break("a loss of decode workers that waits like a swing", "molespur/system/workers/phases.py",
-          "if turns and not short and now - self.turned_at < REVERSE_MS:",
-          "if turns and now - self.turned_at < REVERSE_MS:", (TESTS + "test_phases.py",)),
+          "if turns and not short and now - self.last_order_at < REVERSE_MS:",
+          "if turns and now - self.last_order_at < REVERSE_MS:", (TESTS + "test_phases.py",)),
     Break("a split that bears no loss", "molespur/system/workers/phases.py",
           "LEAST_RUNNERS = 1 / 6", "LEAST_RUNNERS = 1 / 60", (TESTS + "test_phases.py",)),
     # -- Orders and records ------------------------------------------------------------------------------
--- a/tests/system/wrong_process.py
+++ b/tests/system/wrong_process.py
@@ -206,9 +206,9 @@
 
     def often(self, now, workers, load):
         ready = [worker for worker in workers if worker.state == pb.READY]
-        if not ready or now - self.turned_at < 1500.0:
+        if not ready or now - self.last_order_at < 1500.0:
             return plan(self, now, workers, load)
-        self.turned_at = now
+        self.last_order_at = now
         worker = ready[int(now) % len(ready)]
         return phases.PhaseOrder(worker, "decode" if worker.phase == "prefill" else "prefill")
 
