--- a/molespur/system/data_plane/ingress.py
+++ b/molespur/system/data_plane/ingress.py
@@ -24,7 +24,7 @@
     def may_refuse(self) -> bool:
         """Whether what it does not allow may be refused for good."""
 
-    async def wait_until_fresh(self, longest_s: float) -> None:
+    async def wait_until_fresh(self, max_wait_s: float) -> None:
         """Wait until that is so, or this long (s)."""
 
 
--- a/molespur/system/feed/follower.py
+++ b/molespur/system/feed/follower.py
@@ -85,10 +85,10 @@
         """Whether the configuration is so new that what it does not allow may be refused for good."""
         return self.configuration_age_ms() <= self.choice.budget.refuse_ms
 
-    async def wait_until_fresh(self, longest_s: float) -> None:
+    async def wait_until_fresh(self, max_wait_s: float) -> None:
         """Wait until the configuration is new enough for a refusal, or this long (s)."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + longest_s
+        until = loop.time() + max_wait_s
         while not self.may_refuse() and loop.time() < until:
             try:
                 async with asyncio.timeout_at(until):
--- a/tests/system/wire.py
+++ b/tests/system/wire.py
@@ -139,9 +139,9 @@
     def may_refuse(self):
         return self.fresh
 
-    async def wait_until_fresh(self, longest_s):
+    async def wait_until_fresh(self, max_wait_s):
         if not self.fresh:
-            self.waited_s.append(longest_s)
+            self.waited_s.append(max_wait_s)
             if self.comes is not None:
                 self.comes()
                 self.fresh = True
