--- a/tests/system/test_cut_off_control.py
+++ b/tests/system/test_cut_off_control.py
@@ -168,7 +168,7 @@
         assert all(version >= asked for asked, version in prober.started), prober.started
         assert any(asked >= before for asked, _ in prober.started), "it starts schedulers again"
         assert newest.version > before
-        answer = await fleet.ask("GET", "/api/config", tries=40)
+        answer = await fleet.request("GET", "/api/config", tries=40)
         fleet.checker.check(answer[1])
         own = fleet.processes[address].plane.host.groups[CONFIGURATION].machine
         assert own.version >= newest.version
--- a/tests/system/test_many_changes.py
+++ b/tests/system/test_many_changes.py
@@ -278,7 +278,7 @@
         await asyncio.sleep(0.5)
         host = fleet.processes[away].plane.host
         assert host.groups[CONFIGURATION].machine.version == 301
-        answer = await fleet.ask("GET", "/api/config", tries=40)
+        answer = await fleet.request("GET", "/api/config", tries=40)
         fleet.checker.check(answer[1])
         fleet.restart(leader)
         await asyncio.sleep(5.0)
--- a/tests/system/test_redirects.py
+++ b/tests/system/test_redirects.py
@@ -86,7 +86,7 @@
         while not serves():
             await asyncio.sleep(0.01)
             assert fleet.loop.time() - began < LEADER_S
-        assert await fleet.ask("GET", "/api/config") is not None
+        assert await fleet.request("GET", "/api/config") is not None
 
     play(monkeypatch, history, 70 + seed)
 
--- a/tests/system/test_second_loss.py
+++ b/tests/system/test_second_loss.py
@@ -57,7 +57,7 @@
 
 
 async def read_back(fleet):
-    read = await fleet.ask("GET", "/api/config", tries=40)
+    read = await fleet.request("GET", "/api/config", tries=40)
     assert read is not None and read[0] == 200
     fleet.checker.check(read[1])
 
--- a/tests/system/test_virtual_fleet.py
+++ b/tests/system/test_virtual_fleet.py
@@ -26,7 +26,7 @@
         if taken:
             version = taken[0]
         else:
-            read = await fleet.ask("GET", "/api/config")
+            read = await fleet.request("GET", "/api/config")
             if read is not None and read[0] == 200:
                 version = fleet.checker.version_of[read[1]]
         await asyncio.sleep(fleet.random.random())
@@ -194,7 +194,7 @@
         until = fleet.loop.time() + LENGTH_S
         await asyncio.gather(operators(fleet, until), workers(fleet, until), trouble.run(until))
         await fleet.settle()
-        read = await fleet.ask("GET", "/api/config", tries=40)
+        read = await fleet.request("GET", "/api/config", tries=40)
         assert read is not None and read[0] == 200
         fleet.checker.check(read[1])
         assert len(fleet.checker.acknowledged) >= 5 and len(fleet.checker.draining) >= 5
--- a/tests/system/virtual_fleet.py
+++ b/tests/system/virtual_fleet.py
@@ -504,7 +504,7 @@
             return None
         return response.status_code, await response.get_data(), response.headers.get("Location", "")
 
-    async def ask(self, method, path, body=b"", headers=None, tries=12):
+    async def request(self, method, path, body=b"", headers=None, tries=12):
         """A clear answer, as the operator and workers look for one: elsewhere after a failure; else None."""
         address = self.random.choice(list(self.processes))
         for _ in range(tries):
@@ -522,7 +522,7 @@
         """Put a configuration; the checker is told what became of it."""
         body = configuration(version, mark)
         self.checker.sent(version, base, body)
-        answer = await self.ask("PUT", "/api/config", body, {"If-Match": str(base)})
+        answer = await self.request("PUT", "/api/config", body, {"If-Match": str(base)})
         self.checker.answered(body, None if answer is None else answer[0])
         if answer is not None and answer[0] == 200:
             self.acknowledged.set()
@@ -537,7 +537,7 @@
             "State": state,
             "Sequence": sequence,
         }
-        answer = await self.ask("PUT", f"/api/instances/w-{name}", json.dumps(body).encode(), tries=4)
+        answer = await self.request("PUT", f"/api/instances/w-{name}", json.dumps(body).encode(), tries=4)
         acknowledged = answer is not None and answer[0] == 200
         if acknowledged and state == "draining":
             self.checker.draining.add(f"w-{name}")
