--- a/tests/system/test_cut_off_control.py
+++ b/tests/system/test_cut_off_control.py
@@ -184,7 +184,7 @@
     async def history(fleet):
         await asyncio.sleep(SETTLED_S)
         for number in range(4):
-            await fleet.beat(number, "ready", 1)
+            await fleet.send_heartbeat(number, "ready", 1)
         leaders = {name: fleet.leader(name) for name in fleet.processes[ADDRESSES[0]].plane.host.groups}
         for leader in set(leaders.values()):
             fleet.isolate(leader)
--- a/tests/system/test_virtual_fleet.py
+++ b/tests/system/test_virtual_fleet.py
@@ -38,9 +38,9 @@
     while fleet.loop.time() < until:
         number += 1
         for sequence in (1, 2):
-            await fleet.beat(number, "ready", sequence)
-        await fleet.beat(number, "draining", 3)
-        await fleet.beat(number, "ready", 2)  # a call that was held up on its way
+            await fleet.send_heartbeat(number, "ready", sequence)
+        await fleet.send_heartbeat(number, "draining", 3)
+        await fleet.send_heartbeat(number, "ready", 2)  # a call that was held up on its way
         await asyncio.sleep(fleet.random.random())
 
 
--- a/tests/system/virtual_fleet.py
+++ b/tests/system/virtual_fleet.py
@@ -528,7 +528,7 @@
             self.acknowledged.set()
         return answer
 
-    async def beat(self, name, state, sequence):
+    async def send_heartbeat(self, name, state, sequence):
         """One heartbeat of a worker; whether it was acknowledged."""
         body = {
             "Service": "s",
