--- a/molespur/system/control_plane/role.py
+++ b/molespur/system/control_plane/role.py
@@ -55,7 +55,7 @@
         self.host.on_change = self.feed.changed
         self.host.on_restore = self.feed.restored
         self.host.on_role = self._role_changed
-        self.host.on_frame = self._frame
+        self.host.on_frame = self._handle_frame
         self._tasks: set[asyncio.Task] = set()
 
     def metrics(self) -> list[Metric]:
@@ -96,7 +96,7 @@
         ended.set()
 
     def _accept(self) -> Channel:
-        channel = Channel(self._frame, self._lost)
+        channel = Channel(self._handle_frame, self._lost)
         self.channels.add(channel)
         return channel
 
@@ -109,7 +109,7 @@
             self.calls.became_owner(group)
             self.orders.became_owner(group)
 
-    def _frame(self, channel: Channel, frame: pb.Frame) -> None:
+    def _handle_frame(self, channel: Channel, frame: pb.Frame) -> None:
         match frame.WhichOneof("body"):
             case "consensus":
                 self.host.receive(frame.consensus)
--- a/tests/system/test_cut_off_control.py
+++ b/tests/system/test_cut_off_control.py
@@ -134,7 +134,7 @@
 
         back = Link(self.fleet, self.address, "edge-probe", told)
         frame = pb.Frame(subscribe=pb.Subscribe(node=f"probe-{self.sequence}"))
-        process.when_awake(process.plane._frame, back, frame)
+        process.when_awake(process.plane._handle_frame, back, frame)
 
 
 def chosen(fleet, role):
--- a/tests/system/virtual_fleet.py
+++ b/tests/system/virtual_fleet.py
@@ -287,7 +287,7 @@
     @staticmethod
     def _arrived(process, back, frame):
         if process.up:
-            process.when_awake(process.plane._frame, back, frame)
+            process.when_awake(process.plane._handle_frame, back, frame)
 
     def _told(self, frame):
         if self.channel is not None:
@@ -461,7 +461,7 @@
         if process.up:
             back = Link(self, receiver, sender, lambda answer: self.frame(receiver, sender, answer))
             back.label = f"{sender}:{RPC_PORT}"
-            process.plane._frame(back, frame)
+            process.plane._handle_frame(back, frame)
 
     def _follow(self, name):
         settings = ProcessSettings(
