--- a/tests/system/propagation.py
+++ b/tests/system/propagation.py
@@ -124,12 +124,12 @@
     fleet.isolate(address, core_only=True)
 
 
-def not_heard(fleet, address):
+def lose_outgoing(fleet, address):
     """What it sends to the other control-plane processes is lost."""
     fleet.one_way |= {(address, other) for other in others(fleet, address)}
 
 
-def not_hearing(fleet, address):
+def lose_incoming(fleet, address):
     """What the other control-plane processes send to it is lost."""
     fleet.one_way |= {(other, address) for other in others(fleet, address)}
 
@@ -167,8 +167,8 @@
 TROUBLES = {
     "cut off": cut_off,
     "cut from control": cut_from_control,
-    "not heard": not_heard,
-    "not hearing": not_hearing,
+    "not heard": lose_outgoing,
+    "not hearing": lose_incoming,
     "frozen": freeze,
     "disk hangs": hang_disk,
     "disk full": fill_disk,
--- a/tests/system/test_cut_off_control.py
+++ b/tests/system/test_cut_off_control.py
@@ -7,7 +7,7 @@
 import asyncio
 
 import pytest
-from propagation import cut_from_control, cut_off, fill_disk, freeze, heal, not_heard, not_hearing
+from propagation import cut_from_control, cut_off, fill_disk, freeze, heal, lose_incoming, lose_outgoing
 from virtual_fleet import ADDRESSES, Link, VirtualFleet, configuration
 
 from molespur.system.errors import FleetError
@@ -29,8 +29,8 @@
 WAYS = {
     "all": cut_off,
     "core": cut_from_control,
-    "outgoing": not_heard,
-    "incoming": not_hearing,
+    "outgoing": lose_outgoing,
+    "incoming": lose_incoming,
     "frozen": freeze,
     "disk hangs": hang_disk,
     "disk full": fill_disk,
