--- a/benchmarks/propagation.py
+++ b/benchmarks/propagation.py
@@ -31,7 +31,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "tests" / "system"))
 
 import pytest
-from propagation import TROUBLES, Run, measure
+from propagation import FAULTS, Run, measure
 
 LENGTHS_S = (4.0, 12.0)
 
@@ -68,7 +68,7 @@
     }
     runs = [
         Run(trouble, role, for_s, seed, **shape)
-        for trouble in TROUBLES
+        for trouble in FAULTS
         if options["--only"] in (None, trouble)
         for role in ("follower", "leader")
         for for_s in LENGTHS_S
@@ -78,7 +78,9 @@
         played = list(zip(runs, pool.map(play, runs), strict=True))
     headings = ("trouble", "of", "s", "p50", "p99", "worst", "seed", "slowest answer", "seed")
     print("| " + " | ".join(headings) + " |\n" + "| --- " * len(headings) + "|")
-    for (trouble, role, for_s), group in groupby(played, key=lambda p: (p[0].trouble, p[0].role, p[0].for_s)):
+    for (trouble, role, for_s), group in groupby(
+        played, key=lambda p: (p[0].fault, p[0].role, p[0].duration_s)
+    ):
         of_seed = {run.seed: seen for run, seen in group}
         ordered = sorted(delay for seen in of_seed.values() for delay in seen.delays)
         seed = max(of_seed, key=lambda s: max(of_seed[s].delays))
--- a/tests/system/propagation.py
+++ b/tests/system/propagation.py
@@ -164,7 +164,7 @@
     fleet.processes[address].slow_s = SLOW_S
 
 
-TROUBLES = {
+FAULTS = {
     "cut off": cut_off,
     "cut from control": cut_from_control,
     "not heard": lose_outgoing,
@@ -195,38 +195,38 @@
     return next(a for a in fleet.processes if a not in (leader, but))
 
 
-async def one_trouble(fleet: VirtualFleet, trouble, role: str, for_s: float) -> None:
+async def one_trouble(fleet: VirtualFleet, trouble, role: str, duration_s: float) -> None:
     """One process is in trouble."""
     address = chosen(fleet, role)
     trouble(fleet, address)
-    await asyncio.sleep(for_s)
+    await asyncio.sleep(duration_s)
     heal(fleet, address)
 
 
-async def two_in_a_row(fleet: VirtualFleet, trouble, role: str, for_s: float) -> None:
+async def two_in_a_row(fleet: VirtualFleet, trouble, role: str, duration_s: float) -> None:
     """One process after the other is in the same trouble."""
     first = chosen(fleet, role)
     trouble(fleet, first)
-    await asyncio.sleep(for_s)
+    await asyncio.sleep(duration_s)
     heal(fleet, first)
     await asyncio.sleep(HEALED_S)
     second = chosen(fleet, role, but=first)
     trouble(fleet, second)
-    await asyncio.sleep(for_s)
+    await asyncio.sleep(duration_s)
     heal(fleet, second)
 
 
-async def again_and_again(fleet: VirtualFleet, trouble, role: str, for_s: float) -> None:
+async def again_and_again(fleet: VirtualFleet, trouble, role: str, duration_s: float) -> None:
     """The trouble of one process comes and goes every second."""
     address = chosen(fleet, role)
-    for _ in range(int(for_s / 2)):
+    for _ in range(int(duration_s / 2)):
         trouble(fleet, address)
         await asyncio.sleep(1.0)
         heal(fleet, address)
         await asyncio.sleep(1.0)
 
 
-async def replaced_meanwhile(fleet: VirtualFleet, trouble, role: str, for_s: float) -> None:
+async def replaced_meanwhile(fleet: VirtualFleet, trouble, role: str, duration_s: float) -> None:
     """One process is in trouble while another one is replaced by a new machine, planned."""
     address = chosen(fleet, role)
     trouble(fleet, address)
@@ -235,7 +235,7 @@
     await asyncio.sleep(1.0)
     await fleet.stop(leaving)
     fleet.remove(leaving)
-    await asyncio.sleep(for_s)
+    await asyncio.sleep(duration_s)
     heal(fleet, address)
 
 
@@ -251,9 +251,9 @@
 class Run:
     """What is played."""
 
-    trouble: str
+    fault: str
     role: str = "follower"
-    for_s: float = 4.0
+    duration_s: float = 4.0
     seed: int = 1
     course: str = "one"
     schedulers: int = 9
@@ -262,7 +262,7 @@
 
     def size(self) -> int:
         """Bytes by which each configuration is larger: over what small frames hold, in that trouble."""
-        return max(self.body_bytes, SMALL_BODY if self.trouble == "small frames only" else 0)
+        return max(self.body_bytes, SMALL_BODY if self.fault == "small frames only" else 0)
 
 
 def measure(monkeypatch, run: Run) -> Propagation:
@@ -277,7 +277,7 @@
             seen.watch(name, follower)
         operator = asyncio.create_task(change_again_and_again(fleet, seen, run.size()))
         await asyncio.sleep(BEFORE_S)
-        await COURSES[run.course](fleet, TROUBLES[run.trouble], run.role, run.for_s)
+        await COURSES[run.course](fleet, FAULTS[run.fault], run.role, run.duration_s)
         await asyncio.sleep(AFTER_S)
         operator.cancel()
         await asyncio.sleep(AFTER_S)
--- a/tests/system/test_state_age.py
+++ b/tests/system/test_state_age.py
@@ -13,7 +13,7 @@
 """
 
 import pytest
-from propagation import TROUBLES, Run, measure
+from propagation import FAULTS, Run, measure
 
 PROMISE_MS = 2000.0  # ConfigPropagationMs of the virtual fleet's settings
 WORST_MS = 1200.0  # under one trouble
@@ -23,13 +23,13 @@
 
 @pytest.mark.parametrize("role", ["leader", "follower"])
 def test_schedulers_do_not_stay_with_a_source_that_hears_its_leader_and_learns_nothing(role, monkeypatch):
-    seen = measure(monkeypatch, Run("not heard", role, for_s=8.0))
+    seen = measure(monkeypatch, Run("not heard", role, duration_s=8.0))
     assert len(seen.acknowledged) > 60, "changes went on"
     assert seen.worst() <= PROMISE_MS
 
 
 @pytest.mark.parametrize("role", ["leader", "follower"])
-@pytest.mark.parametrize("trouble", TROUBLES)
+@pytest.mark.parametrize("trouble", FAULTS)
 def test_a_change_is_in_force_well_within_the_promise_under_any_one_trouble(trouble, role, monkeypatch):
     for seed in SEEDS:
         seen = measure(monkeypatch, Run(trouble, role, seed=seed))
