--- a/molespur/system/errors.py
+++ b/molespur/system/errors.py
@@ -1,13 +1,13 @@
-"""The closed list of error kinds of the fleet, and the answer that each calls for."""
+"""The closed set of error kinds of the router fleet, and the HTTP response for each."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class ErrorKind(Enum):
-    """Everything that can go wrong with a request or a call."""
+    """All errors of a client request, of a call to the control plane, or at the start of a process."""
 
-    # a client's request
+    # client request
     MALFORMED = "malformed"
     HEADERS_TOO_LARGE = "headers-too-large"
     HEADERS_TOO_SLOW = "headers-too-slow"
@@ -15,27 +15,29 @@
     BODY_TOO_SLOW = "body-too-slow"
     NO_ROUTE = "no-route"
     NO_CONFIGURATION = "no-configuration"
-    OLD_CONFIGURATION = "old-configuration"  # a newer one, that may be in force elsewhere, might allow it
+    OLD_CONFIGURATION = (
+        "old-configuration"  # a newer configuration, possibly in force elsewhere, might allow the request
+    )
     STOPPING = "stopping"
     NO_WORKER = "no-worker"
     OVERLOADED = "overloaded"
     OUT_OF_TIME_UNSENT = "out-of-time-unsent"
-    REJECTED = "rejected"  # every worker that was asked said that it did not run the request
+    REJECTED = "rejected"  # every worker that was tried reported that it did not run the request
     MAY_HAVE_RUN = "may-have-run"
     OUT_OF_TIME = "out-of-time"
-    # a call of the operator or of a worker
+    # call from the operator or a worker
     UNREADABLE = "unreadable"
     INVALID_CONFIGURATION = "invalid-configuration"
     VERSION_MISMATCH = "version-mismatch"
     NO_LEADER = "no-leader"
     OUTCOME_UNKNOWN = "outcome-unknown"
-    # a process
+    # process start
     BAD_SETTINGS = "bad-settings"
 
 
 @dataclass(frozen=True, slots=True)
 class ErrorResponse:
-    """What a caller is told: a status, and whether it promises that the request did not and will not run."""
+    """An HTTP status, and whether it guarantees that the request was not and will not be run."""
 
     status: int
     guarantees_not_run: bool = False
@@ -64,19 +66,16 @@
     ErrorKind.NO_LEADER: ErrorResponse(503),
     ErrorKind.OUTCOME_UNKNOWN: ErrorResponse(503),
 }
-"""The one table from kind to answer.  `BAD_SETTINGS` ends the process and has no answer."""
+"""The response for each kind.  `BAD_SETTINGS` ends the process, so it has none."""
 
 REFUSED_BY_CONFIGURATION = frozenset(
     {ErrorKind.NO_ROUTE, ErrorKind.BODY_TOO_LARGE, ErrorKind.HEADERS_TOO_LARGE}
 )
-"""Refusals for good that another configuration might not call for:
-
-only a fresh one may be quoted for them.
-"""
+"""Permanent refusals that depend on the configuration: only a fresh configuration may justify them."""
 
 
 class FleetError(Exception):
-    """An error of a known kind.  `detail` is one line for the caller or the log."""
+    """An error of a known kind.  `detail` is a single line for the caller or the log."""
 
     def __init__(self, kind: ErrorKind, detail: str = ""):
         super().__init__(f"{kind.value}: {detail}" if detail else kind.value)
@@ -84,5 +83,5 @@
 
     @property
     def response(self) -> ErrorResponse:
-        """What the caller is told."""
+        """The HTTP response for this error."""
         return ERROR_RESPONSES[self.kind]
