--- a/molespur/system/membership/__init__.py
+++ b/molespur/system/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which schedulers are alive: heartbeats to monitors chosen on a ring."""
+"""Scheduler membership: heartbeats to monitors that are chosen on a consistent-hashing ring."""
--- a/molespur/system/membership/schedulers.py
+++ b/molespur/system/membership/schedulers.py
@@ -1,94 +1,100 @@
-"""Which schedulers are alive and what load they see, as their monitors know and tell each other.  Pure."""
+"""Which schedulers are alive and what load they see, from heartbeats and other monitors' reports.  No I/O."""
 
 from dataclasses import dataclass, field
 
 from ..rpc import molespur_pb2 as pb
 
-ALIVE_MS = 3500.0  # a scheduler not heard of for this long has failed
-REPORT_MS = 5000.0  # a monitor's word stands this long
-MOST_TOLD = 40  # schedulers in one report to another monitor,
-ROUND_REPORTS = 8  # or so many that all are told within this many reports
+HEARTBEAT_TIMEOUT_MS = 3500.0  # a scheduler without a heartbeat for this long has failed
+REPORT_TIMEOUT_MS = 5000.0  # another monitor's report of a scheduler is valid for this long
+REPORT_SIZE = 40  # schedulers in one report to another monitor, more where the next limit requires it
+MAX_REPORTS_PER_ROUND = 8  # each scheduler is in at least one of this many consecutive reports
 
 
 @dataclass(slots=True)
-class Report:
-    """The last heartbeat of a scheduler, and when it was heard of."""
+class ReceivedHeartbeat:
+    """The last heartbeat of a scheduler, and when it was received here, directly or in a report."""
 
-    beat: pb.SchedulerHeartbeat
-    at: float
+    message: pb.SchedulerHeartbeat
+    received_at: float
 
 
 @dataclass
 class SchedulerMonitor:
-    """The schedulers that this process watches, and what other monitors report of theirs."""
+    """The schedulers that this process monitors, and those that other monitors report."""
 
     started_at: float = 0.0
-    heard: dict[str, Report] = field(default_factory=dict)
-    told: dict[str, Report] = field(default_factory=dict)
-    reported_at: dict[str, float] = field(default_factory=dict)  # scheduler -> when others were last told
-
-    def heartbeat(self, now: float, beat: pb.SchedulerHeartbeat) -> bool:
-        """A scheduler has said that it lives, or that it leaves; whether it was not known here."""
-        if beat.leaving:
-            self.heard.pop(beat.node, None)
+    direct: dict[str, ReceivedHeartbeat] = field(default_factory=dict)  # sent to this process
+    reported: dict[str, ReceivedHeartbeat] = field(default_factory=dict)  # sent to other monitors
+    last_reported_at: dict[str, float] = field(default_factory=dict)  # by scheduler, to other monitors
+
+    def heartbeat(self, now: float, message: pb.SchedulerHeartbeat) -> bool:
+        """Record a heartbeat, or remove a scheduler that is leaving; return whether it was not known here."""
+        if message.leaving:
+            self.direct.pop(message.node, None)
             return False
-        new = beat.node not in self.heard
-        self.heard[beat.node] = Report(beat, now)
-        return new
+        is_new = message.node not in self.direct
+        self.direct[message.node] = ReceivedHeartbeat(message, now)
+        return is_new
 
     def report(self, now: float, report: pb.MonitorReport) -> bool:
-        """Another monitor has told which schedulers it has heard of; whether one was not known here."""
-        new = any(beat.node not in self.told for beat in report.alive)
-        for beat in report.alive:
-            self.told[beat.node] = Report(beat, now)
-        return new
-
-    def own(self, now: float) -> list[pb.SchedulerHeartbeat]:
-        """The last heartbeats of the schedulers heard of here lately."""
-        self.heard = {node: report for node, report in self.heard.items() if now - report.at < ALIVE_MS}
-        return [report.beat for report in self.heard.values()]
+        """Record the report of another monitor; return whether it names a scheduler not reported before."""
+        has_new = any(message.node not in self.reported for message in report.alive)
+        for message in report.alive:
+            self.reported[message.node] = ReceivedHeartbeat(message, now)
+        return has_new
+
+    def direct_heartbeats(self, now: float) -> list[pb.SchedulerHeartbeat]:
+        """The last heartbeats of the live schedulers that send them to this process."""
+        self.direct = {
+            node: last for node, last in self.direct.items() if now - last.received_at < HEARTBEAT_TIMEOUT_MS
+        }
+        return [last.message for last in self.direct.values()]
 
     def next_report(self, now: float) -> list[pb.SchedulerHeartbeat]:
-        """What the other monitors are told now: all that is heard here or, of many, those longest untold."""
-        beats = self.own(now)
-        most = max(MOST_TOLD, -(-len(beats) // ROUND_REPORTS))
-        if len(beats) > most:
-            beats.sort(key=lambda beat: self.reported_at.get(beat.node, float("-inf")))
-            del beats[most:]
-        self.reported_at = {node: at for node, at in self.reported_at.items() if node in self.heard}
-        self.reported_at.update((beat.node, now) for beat in beats)
-        return beats
+        """The heartbeats for the next report to other monitors: all, or those not reported for longest."""
+        heartbeats = self.direct_heartbeats(now)
+        max_size = max(REPORT_SIZE, -(-len(heartbeats) // MAX_REPORTS_PER_ROUND))
+        if len(heartbeats) > max_size:
+            heartbeats.sort(key=lambda message: self.last_reported_at.get(message.node, float("-inf")))
+            del heartbeats[max_size:]
+        self.last_reported_at = {
+            node: at for node, at in self.last_reported_at.items() if node in self.direct
+        }
+        self.last_reported_at.update((message.node, now) for message in heartbeats)
+        return heartbeats
 
     def alive(self, now: float) -> dict[str, pb.SchedulerHeartbeat]:
-        """All schedulers that some monitor has heard of lately, with their last heartbeats."""
-        self.told = {node: report for node, report in self.told.items() if now - report.at < REPORT_MS}
-        everyone = {node: report.beat for node, report in self.told.items()}
-        everyone.update({beat.node: beat for beat in self.own(now)})
-        return everyone
+        """The last heartbeat of each scheduler that any monitor considers alive."""
+        self.reported = {
+            node: last for node, last in self.reported.items() if now - last.received_at < REPORT_TIMEOUT_MS
+        }
+        heartbeats = {node: last.message for node, last in self.reported.items()}
+        heartbeats.update({message.node: message for message in self.direct_heartbeats(now)})
+        return heartbeats
 
     def recent_schedulers(self, now: float) -> list[pb.HeardScheduler]:
-        """All schedulers that are alive, with the time since their word came here (ms)."""
+        """All live schedulers, with the time since their last heartbeat or report arrived here (ms)."""
         alive = self.alive(now)
         return [
-            pb.HeardScheduler(heartbeat=beat, heard_ms_ago=int(now - self._word_of(node).at))
-            for node, beat in sorted(alive.items())
+            pb.HeardScheduler(heartbeat=message, heard_ms_ago=int(now - self._last(node).received_at))
+            for node, message in sorted(alive.items())
         ]
 
-    def _word_of(self, node: str) -> Report:
-        return self.heard.get(node) or self.told[node]
+    def _last(self, node: str) -> ReceivedHeartbeat:
+        return self.direct.get(node) or self.reported[node]
 
     def count(self, now: float) -> int:
-        """How many schedulers there are; 0 while this process may not have heard of all yet.
+        """The number of live schedulers; 0 until this process has run long enough to know all of them.
 
-        Budgets are divided by it, so a number that is too low would be spent over and over.
+        Schedulers divide budgets by this number.  One that is too low would let them overspend together.
         """
-        return len(self.alive(now)) if now - self.started_at > ALIVE_MS else 0
+        return len(self.alive(now)) if now - self.started_at > HEARTBEAT_TIMEOUT_MS else 0
 
     def load(self, now: float, service: str) -> pb.ServiceLoad:
-        """What all schedulers together send to a service."""
+        """The total load that all schedulers report for a service."""
         total = pb.ServiceLoad(service=service)
-        for beat in self.alive(now).values():
-            for load in beat.loads:
+        for message in self.alive(now).values():
+            for load in message.loads:
                 if load.service == service:
                     total.read_tokens_per_s += load.read_tokens_per_s
                     total.running += load.running
--- a/tests/system/test_scheduler_monitors.py
+++ b/tests/system/test_scheduler_monitors.py
@@ -1,4 +1,4 @@
-"""Membership of schedulers: monitors, reports, announcements."""
+"""Scheduler membership: choice of monitors, reports between them, periodic messages."""
 
 import pytest
 
@@ -18,7 +18,7 @@
     assert moved == 0, "only the nodes of the process that left are watched by others"
 
 
-def test_a_monitor_that_has_just_started_does_not_know_how_many_there_are():
+def test_a_monitor_that_has_just_started_reports_no_scheduler_count():
     monitor = SchedulerMonitor(started_at=1_000.0)
     monitor.heartbeat(1_100.0, pb.SchedulerHeartbeat(node="a"))
     assert monitor.count(1_200.0) == 0
@@ -29,44 +29,44 @@
 def test_schedulers_are_counted_over_all_monitors():
     monitor = SchedulerMonitor()
     monitor.heartbeat(0.0, pb.SchedulerHeartbeat(node="a"))
-    told = pb.MonitorReport(alive=[pb.SchedulerHeartbeat(node="a"), pb.SchedulerHeartbeat(node="b")])
-    monitor.report(100.0, told)
+    report = pb.MonitorReport(alive=[pb.SchedulerHeartbeat(node="a"), pb.SchedulerHeartbeat(node="b")])
+    monitor.report(100.0, report)
     assert set(monitor.alive(200.0)) == {"a", "b"}
     monitor.heartbeat(300.0, pb.SchedulerHeartbeat(node="a", leaving=True))
-    assert {beat.node for beat in monitor.own(300.0)} == set()
+    assert {message.node for message in monitor.direct_heartbeats(300.0)} == set()
 
 
-def beats_of(monitor, now, count):
+def send_heartbeats(monitor, now, count):
     for number in range(count):
         monitor.heartbeat(now, pb.SchedulerHeartbeat(node=f"edge-{number}"))
 
 
-@pytest.mark.parametrize(("count", "most"), [(12, 12), (40, 40), (130, 40), (800, 100)])
-def test_a_report_to_other_monitors_stays_small_and_all_are_told_within_a_round(count, most):
+@pytest.mark.parametrize(("count", "size"), [(12, 12), (40, 40), (130, 40), (800, 100)])
+def test_reports_are_bounded_and_a_round_of_them_names_all_schedulers(count, size):
     monitor, other = SchedulerMonitor(), SchedulerMonitor()
-    for turn in range(24):
-        now = 300.0 * turn
-        beats_of(monitor, now, count)
-        news = monitor.next_report(now)
-        assert len(news) == most
-        other.report(now, pb.MonitorReport(alive=news))
-        if turn >= 8:
-            assert len(other.alive(now)) == count, "a monitor's word outlasts the time until its next"
+    for number in range(24):
+        now = 300.0 * number
+        send_heartbeats(monitor, now, count)
+        heartbeats = monitor.next_report(now)
+        assert len(heartbeats) == size
+        other.report(now, pb.MonitorReport(alive=heartbeats))
+        if number >= 8:
+            assert len(other.alive(now)) == count, "an entry stays valid until the next report that names it"
 
 
-def test_a_monitor_says_whether_a_scheduler_is_new_to_it():
+def test_a_monitor_returns_whether_a_scheduler_is_new_to_it():
     monitor = SchedulerMonitor()
-    beat = pb.SchedulerHeartbeat(node="a")
-    assert monitor.heartbeat(0.0, beat) and not monitor.heartbeat(100.0, beat)
+    heartbeat = pb.SchedulerHeartbeat(node="a")
+    assert monitor.heartbeat(0.0, heartbeat) and not monitor.heartbeat(100.0, heartbeat)
     assert not monitor.heartbeat(200.0, pb.SchedulerHeartbeat(node="a", leaving=True))
-    assert monitor.heartbeat(300.0, beat)
-    told = pb.MonitorReport(alive=[pb.SchedulerHeartbeat(node="b")])
-    assert monitor.report(400.0, told) and not monitor.report(500.0, told)
+    assert monitor.heartbeat(300.0, heartbeat)
+    report = pb.MonitorReport(alive=[pb.SchedulerHeartbeat(node="b")])
+    assert monitor.report(400.0, report) and not monitor.report(500.0, report)
     monitor.alive(6_000.0)
-    assert monitor.report(6_100.0, told), "a word that has lapsed"
+    assert monitor.report(6_100.0, report), "the first report has expired"
 
 
-def test_announcements_go_out_at_their_intervals_and_at_once_for_a_new_scheduler():
+def test_announcements_are_due_at_their_intervals_and_at_once_for_a_new_scheduler():
     report, heartbeat = Announcement.MONITOR_REPORT, Announcement.FEED_HEARTBEAT
     schedule = AnnouncementSchedule()
     assert schedule.take_due(100.0) == [report, heartbeat]
@@ -80,11 +80,11 @@
     assert schedule.take_due(600.0) == []
 
 
-def test_one_that_is_new_is_told_with_the_next_report():
+def test_a_new_scheduler_is_in_the_next_report():
     monitor = SchedulerMonitor()
-    beats_of(monitor, 0.0, 130)
-    for turn in range(5):
-        monitor.next_report(300.0 * turn)
+    send_heartbeats(monitor, 0.0, 130)
+    for number in range(5):
+        monitor.next_report(300.0 * number)
     monitor.heartbeat(1_600.0, pb.SchedulerHeartbeat(node="edge-new"))
-    assert "edge-new" in {beat.node for beat in monitor.next_report(1_600.0)}
+    assert "edge-new" in {message.node for message in monitor.next_report(1_600.0)}
     assert set(monitor.alive(6000.0)) == set()
