--- a/molespur/system/control_plane/__init__.py
+++ b/molespur/system/control_plane/__init__.py
@@ -1,1 +1,1 @@
-"""The control-plane role."""
+"""The control-plane role of the router fleet."""
--- a/molespur/system/control_plane/calls.py
+++ b/molespur/system/control_plane/calls.py
@@ -1,17 +1,17 @@
-"""What workers and the operator ask of the control plane, apart from how it is asked.
+"""The control plane's operations for workers and the operator, independent of the transport.
 
-Every process takes every call.  Calls about workers are handed to the owner of the shard; calls of the
-operator are led there by a redirect.  The contact that each answer needs:
+Every process accepts every call.  Worker calls are forwarded to the owner of the shard; operator calls are
+redirected to it.  The owner of a shard is the leader of its group.  What each response requires:
 
-- a configuration that is read: a majority confirms the lead after the call has come (`ReplicaHost.read`);
-- a change, a heartbeat that changes something, a goodbye: a majority has committed it
+- reading the configuration: a majority confirms leadership after the call has arrived (`ReplicaHost.read`);
+- a configuration change, a heartbeat that changes a record, a deregistration: a majority has committed it
   (`ReplicaHost.propose`), which also decides whether it is refused;
-- a heartbeat or goodbye that changes nothing: what it says is committed here, and a majority has answered
-  within the lease;
-- a redirect: the process that it names has said since the call came that it leads and is in touch;
-- a refusal of a body that can't be read: none, since no state has a part in it.
+- a heartbeat or deregistration that changes nothing: its content is committed here, and a majority has
+  responded within the lease;
+- a redirect: the process that it names has confirmed since the call arrived that it leads and can commit;
+- a refusal of an unreadable body: nothing, because it does not depend on state.
 
-Without that contact the answer is 503 at once.
+If the requirement is not met, the response is 503 without further waiting.
 """
 
 import hashlib
@@ -33,13 +33,13 @@
 from ..workers.liveness import WorkerLiveness
 from .methods import IS_LEADER, LIST_SCHEDULERS, PUT_WORKER, READ_INDEX, REMOVE_WORKER
 
-STATES = {"ready": pb.READY, "draining": pb.DRAINING}
+WORKER_STATES = {"ready": pb.READY, "draining": pb.DRAINING}
 OK = 200
-REDIRECT_S = 0.25  # a leader that has not said by then that it leads is not named to the operator
+REDIRECT_S = 0.25  # timeout of the IS_LEADER call that precedes a redirect
 
 
 class ControlCalls:
-    """The calls, on top of the replicas that this process hosts."""
+    """Serves the calls from the replicas that this process hosts."""
 
     def __init__(
         self,
@@ -57,20 +57,20 @@
     # -- Workers -----------------------------------------------------------------------------------
 
     async def heartbeat(self, worker: pb.Worker) -> str:
-        """Take a heartbeat; return the owner's control address.  Raises FleetError."""
+        """Process a heartbeat; return the control address of the shard's owner.  Raises FleetError."""
         name = group_of_service(worker.service)
-        return await self._at_owner(name, PUT_WORKER, worker)
+        return await self._call_owner(name, PUT_WORKER, worker)
 
     async def remove(self, worker_id: str) -> None:
-        """Take a goodbye.  Raises FleetError."""
+        """Deregister a worker.  Raises FleetError."""
         names = [n for n in WORKER_GROUPS if worker_id in self.host.groups[n].machine.workers]
         worker = pb.Worker(id=worker_id, state=pb.GONE, deregistered=True)
         for name in names or WORKER_GROUPS:
-            await self._at_owner(name, REMOVE_WORKER, worker)
+            await self._call_owner(name, REMOVE_WORKER, worker)
 
-    async def _at_owner(self, name: str, method: str, worker: pb.Worker) -> str:
+    async def _call_owner(self, name: str, method: str, worker: pb.Worker) -> str:
         if self.host.leads(name):
-            await self._own(name, method, worker)
+            await self._apply_as_owner(name, method, worker)
             return self.host.self_member.control_address
         leader = self.host.leader(name)
         if leader is None:
@@ -80,8 +80,8 @@
             raise FleetError(ErrorKind.OUTCOME_UNKNOWN, name)
         return leader.control_address
 
-    async def _own(self, name: str, method: str, worker: pb.Worker) -> None:
-        """The owner's part of a call."""
+    async def _apply_as_owner(self, name: str, method: str, worker: pb.Worker) -> None:
+        """Carry out a worker call as the owner of the shard.  Raises FleetError."""
         if not self.host.has_lease(name):
             raise FleetError(ErrorKind.NO_LEADER, name)
         if method == REMOVE_WORKER:
@@ -95,17 +95,17 @@
             await self.host.propose(name, pb.WorkerCommand(workers=[changed]).SerializeToString())
             liveness.committed(changed)
 
-    async def answer(self, channel: Channel, call: pb.Call) -> None:
-        """Carry out a call that another process, or the operators' command, has handed over."""
+    async def reply_to(self, channel: Channel, call: pb.Call) -> None:
+        """Carry out an RPC call of a peer or of the operator's client, and send the reply."""
         reply = pb.Reply(id=call.id, status=OK)
         try:
-            reply.body = await self._carry_out(call)
+            reply.body = await self._dispatch(call)
         except FleetError as error:
             reply.status = error.response.status
         channel.send(pb.Frame(reply=reply))
 
-    async def _carry_out(self, call: pb.Call) -> bytes:
-        """The body of the reply to a call.  Raises FleetError."""
+    async def _dispatch(self, call: pb.Call) -> bytes:
+        """Carry out a call; return the body of its reply.  Raises FleetError."""
         if call.method == LIST_SCHEDULERS:
             return self._known_schedulers().SerializeToString()
         if call.subject not in self.host.groups:
@@ -113,26 +113,26 @@
         if not self.host.leads(call.subject):
             raise FleetError(ErrorKind.NO_LEADER, call.subject)
         if call.method == IS_LEADER:
-            self._must_be_in_touch(call.subject)
+            self._check_in_touch(call.subject)
             return b""
         if call.method == READ_INDEX:
             index = await self._confirmed_index(call.subject)
             return pb.Offset(group=call.subject, index=index).SerializeToString()
         if call.method in (PUT_WORKER, REMOVE_WORKER) and call.subject in WORKER_GROUPS:
-            await self._own(call.subject, call.method, pb.Worker.FromString(call.body))
+            await self._apply_as_owner(call.subject, call.method, pb.Worker.FromString(call.body))
             return b""
         raise FleetError(ErrorKind.MALFORMED, call.method)
 
     def _known_schedulers(self) -> pb.SchedulerList:
-        """Which schedulers this process knows of, and what configuration each one has."""
+        """The schedulers that this process knows, each with its configuration version."""
         known = pb.SchedulerList(schedulers=self.schedulers.recent_schedulers(self.clock()))
         known.configuration_version = self.host.groups[CONFIGURATION].machine.version
         return known
 
     async def read_barrier(self, name: str) -> int:
-        """An index of a group's log: whoever has applied it knows all that was acknowledged before this call.
+        """A log index of a group that covers all that was acknowledged before this call.
 
-        Raises FleetError where no leader confirms it.
+        Raises FleetError if no leader confirms an index.
         """
         if self.host.leads(name):
             return await self._confirmed_index(name)
@@ -149,12 +149,12 @@
         return self.host.groups[name].replica.log.applied_index
 
     def became_owner(self, name: str) -> None:
-        """This process has a group's lead."""
+        """This process has become the leader of a group."""
         if name in self.liveness:
             self.liveness[name].reset(self.clock())
 
-    async def look_for_silence(self) -> None:
-        """Propose what follows from missing heartbeats, in the shards that this process owns."""
+    async def check_heartbeats(self) -> None:
+        """Propose the record changes for overdue workers, in the shards that this process owns."""
         for name in WORKER_GROUPS:
             if not self.host.has_lease(name):
                 self.liveness[name].suspend()
@@ -162,16 +162,18 @@
             overdue = self.liveness[name].find_overdue(self.clock())
             if not overdue:
                 continue
-            logging.info("%s: silent: %s", name, ", ".join(worker.id for worker in overdue))
+            logging.info(
+                "%s: workers without heartbeats: %s", name, ", ".join(worker.id for worker in overdue)
+            )
             try:
                 await self.host.propose(name, pb.WorkerCommand(workers=overdue).SerializeToString())
             except FleetError as error:
-                logging.warning("%s: silence not noted: %s", name, error)
+                logging.warning("%s: overdue workers not recorded: %s", name, error)
 
-    # -- The operator ------------------------------------------------------------------------------
+    # -- Operator ---------------------------------------------------------------------------------
 
     async def put_configuration(self, body: bytes, base_version: int) -> None:
-        """Put a configuration in force, at the owner of its shard.  Raises FleetError."""
+        """Put a configuration in force; this process must own the configuration shard.  Raises FleetError."""
         parsed = configuration.parse(body)
         digest = hashlib.sha256(b"%d\n" % base_version + body).digest()[:16]
         machine = self.host.groups[CONFIGURATION].machine
@@ -184,18 +186,18 @@
         if outcome is PutOutcome.MISMATCH:
             raise FleetError(ErrorKind.VERSION_MISMATCH, f"current version is {machine.version}")
         if outcome is PutOutcome.NOT_NEWER:
-            raise FleetError(ErrorKind.INVALID_CONFIGURATION, f"Version: not above {machine.version}")
+            raise FleetError(ErrorKind.INVALID_CONFIGURATION, f"Version: must be above {machine.version}")
 
     async def configuration(self) -> bytes | None:
-        """The newest configuration, None before the first.  Raises FleetError(NO_LEADER) when unsure."""
+        """The newest configuration, None before the first.  Raises FleetError(NO_LEADER) if unconfirmed."""
         machine = await self.host.read(CONFIGURATION)
         return machine.body if machine.version else None
 
     async def configuration_owner(self) -> str | None:
-        """Control address of the owner of the configuration's shard, if it is another process.
+        """The control address of the owner of the configuration shard, if it is another process.
 
-        It has just said itself that it can commit: an operator that is led to a process that does not answer
-        would wait there until its own time-out.  Raises FleetError where no process says so.
+        That process must first confirm that it leads and can commit: an operator that is redirected to an
+        unresponsive process would wait until its own timeout.  Raises FleetError if no process confirms.
         """
         if self.host.leads(CONFIGURATION):
             return None
@@ -207,14 +209,14 @@
             raise FleetError(ErrorKind.NO_LEADER, CONFIGURATION)
         return leader.control_address
 
-    def _must_be_in_touch(self, name: str) -> None:
-        """Raises FleetError(NO_LEADER) where this process can commit nothing in a group."""
+    def _check_in_touch(self, name: str) -> None:
+        """Raises FleetError(NO_LEADER) if this process can't commit in a group."""
         if not self.host.in_touch(name):
             raise FleetError(ErrorKind.NO_LEADER, name)
 
 
 def worker_from_registration(worker_id: str, body: bytes) -> pb.Worker:
-    """A worker from the body of its heartbeat.  Raises FleetError(UNREADABLE)."""
+    """Parse the body of a worker's heartbeat.  Raises FleetError(UNREADABLE)."""
     try:
         raw = json.loads(body)
         return pb.Worker(
@@ -224,7 +226,7 @@
             zone=raw["Zone"],
             software_version=str(raw.get("Version", "")),
             capacity=max(int(raw.get("Capacity", 1)), 1),
-            state=STATES[raw["State"]],
+            state=WORKER_STATES[raw["State"]],
             phase=raw.get("Phase") or "",
             sequence=int(raw.get("Sequence", 0)),
             models=json.dumps(raw.get("Models") or [], separators=(",", ":")),
--- a/molespur/system/control_plane/figures.py
+++ b/molespur/system/control_plane/figures.py
@@ -1,4 +1,4 @@
-"""The figures of a control-plane process."""
+"""The metrics of a control-plane process."""
 
 from collections import Counter
 
@@ -17,11 +17,11 @@
     host: ReplicaHost,
     feed: FeedSource,
     schedulers: SchedulerMonitor,
-    orders_given: Counter[tuple[str, str]],
+    order_counts: Counter[tuple[str, str]],
     failed_writes: int,
     now: float,
 ) -> list[Metric]:
-    """All figures as they are now; `now` in ms on the steady clock."""
+    """The current metrics; `now` in ms on the monotonic clock."""
     workers = Counter(
         (worker.service, pb.WorkerState.Name(worker.state).lower())
         for name in WORKER_GROUPS
@@ -51,7 +51,7 @@
         gauge("schedulers", "Schedulers heard of lately by any monitor.", len(schedulers.alive(now))),
         gauge("feed_followers", "Schedulers that follow the feed here.", len(feed.followers)),
         Metric("orders", MetricKind.COUNTER, "Orders given to workers, by part and outcome.",
-               ("part", "outcome"), dict(orders_given)),
+               ("part", "outcome"), dict(order_counts)),
         counter("disk_failed_writes", "Tries to write to the disk that have failed.", failed_writes),
         *traffic.metrics(),
     ]  # fmt: skip
--- a/molespur/system/control_plane/http.py
+++ b/molespur/system/control_plane/http.py
@@ -1,4 +1,4 @@
-"""HTTP of the control plane: registrations of workers, and the operator's configuration."""
+"""HTTP interface of the control plane: worker registrations and the operator's configuration."""
 
 from collections.abc import Callable
 
@@ -10,25 +10,25 @@
 from ..serving import serve
 from .calls import ControlCalls, worker_from_registration
 
-__all__ = ["create_app", "refusal", "serve"]
+__all__ = ["create_app", "error_response", "serve"]
 
 MAX_CONFIGURATION_BYTES = 8 << 20
 JSON = "application/json"
 
 
-def refusal(error: FleetError) -> Response:
-    """The answer that an error calls for: its status and one line."""
+def error_response(error: FleetError) -> Response:
+    """The response for an error: its status and a single line of text."""
     return Response(f"{error.detail or error.kind.value}\n", error.response.status, content_type="text/plain")
 
 
 def create_app(calls: ControlCalls, metrics: Callable[[], list[Metric]]) -> Quart:
-    """The control plane's interface."""
+    """The HTTP application of a control-plane process."""
     app = Quart("molespur")
     app.config["MAX_CONTENT_LENGTH"] = MAX_CONFIGURATION_BYTES
 
     @app.errorhandler(FleetError)
-    async def failed(error: FleetError) -> Response:
-        return refusal(error)
+    async def handle_error(error: FleetError) -> Response:
+        return error_response(error)
 
     @app.put("/api/instances/<worker_id>")
     async def heartbeat(worker_id: str) -> Response:
@@ -49,12 +49,12 @@
         try:
             base_version = int(request.headers.get("If-Match", "").strip().strip('"') or 0)
         except ValueError as error:
-            raise FleetError(ErrorKind.UNREADABLE, "If-Match is not a version") from error
+            raise FleetError(ErrorKind.UNREADABLE, "If-Match is not a version number") from error
         body = await request.get_data()
         try:
             await calls.put_configuration(body, base_version)
         except FleetError as error:
-            logging.info("configuration on top of %d not taken: %s", base_version, error)
+            logging.info("configuration change based on version %d refused: %s", base_version, error)
             raise
         return Response("{}", content_type=JSON)
 
@@ -71,7 +71,7 @@
         return Response("ok\n")
 
     @app.get("/api/metrics")
-    async def figures() -> Response:
+    async def get_metrics() -> Response:
         return Response(exposition(metrics()), content_type=CONTENT_TYPE)
 
     return app
--- a/molespur/system/control_plane/methods.py
+++ b/molespur/system/control_plane/methods.py
@@ -1,4 +1,4 @@
-"""Names of the calls that a control-plane process carries out for others, or for the operators' command."""
+"""Methods of the RPC calls that a control-plane process serves to its peers and to the operator's client."""
 
 PUT_WORKER = "put-worker"
 REMOVE_WORKER = "remove-worker"
--- a/molespur/system/control_plane/orders.py
+++ b/molespur/system/control_plane/orders.py
@@ -1,10 +1,11 @@
-"""Gives orders to workers: a singleton role, which the owner of a service's shard has.
-
-The fencing token is the term of the shard's group: two owners never share one, and a later owner has a higher
-one.  A new owner waits a lease before its first order, so that holders don't take turns.  A worker that
-refuses a token since it has seen a higher one gets no order with that token again.  An order names how many
-the worker should have taken before it (`IfRevision`), where that is known; a worker that says otherwise has
-taken somebody else's order, and is asked what it does before it gets another one.
+"""Orders to workers to change their phase.  Only the owner of a service's shard sends them.
+
+The fencing token is the term of the shard's group: two owners never share a term, and a later owner has a
+higher one.  A new owner waits for a lease before its first order, so that the orders of two owners do not
+alternate.  A worker that refuses a token because it has seen a higher one gets no more orders with that
+token.  Where the number of orders that the worker has accepted before is known, the order carries it
+(`IfRevision`).  A worker whose number differs has accepted another process's order; its phase and number are
+read before the next order.
 """
 
 import asyncio
@@ -26,17 +27,18 @@
 from .calls import ControlCalls
 
 ORDER_TIMEOUT_S = 0.8
-HANDOVER_MS = 1000.0  # on top of the lease, before a new owner gives orders
-TAKEN = (200, 202)
-CONFLICT = 409  # another order is under way, or the worker has taken others than was expected
-FENCED_OFF = 412  # the worker has seen a higher fencing token
+HANDOVER_MS = 1000.0  # wait of a new owner before its first order, in addition to the lease
+ACCEPTED_STATUSES = (200, 202)
+CONFLICT = 409  # another order is in progress, or the number of accepted orders differs
+STALE_TOKEN = 412  # the worker has seen a higher fencing token
 DEFAULT_SWITCH_S = 2.0
-REPORTS, REPORT_PAUSE_S = 4, 0.25  # asked of a worker under orders, before its heartbeat is waited for
-SPLIT_LOG_MS = 1000.0  # between two lines of the log on a split that is off
+MAX_REPORT_POLLS = 4  # polls of a switching worker; after that its heartbeat completes the order
+REPORT_POLL_S = 0.25
+SPLIT_LOG_MS = 1000.0  # min. interval between log lines on a split that is off its target
 
 
 class PhaseOrders:
-    """The orders of all shards that this process owns."""
+    """Sends the orders for all shards that this process owns."""
 
     def __init__(
         self,
@@ -50,27 +52,27 @@
         self.clock = clock
         self.owner_since: dict[str, float] = {}
         self.planners: dict[tuple[str, str], PhasePlanner] = {}  # by group and service
-        self.given: Counter[tuple[str, str]] = Counter()  # (part, status or "no answer")
-        self.fenced_off: dict[str, int] = {}  # worker -> the token that it has refused
+        self.outcomes: Counter[tuple[str, str]] = Counter()  # (phase, status or "no answer")
+        self.refused_tokens: dict[str, int] = {}  # worker id -> the token that it has refused as stale
         self.revisions = OrderRevisions()
         self._split_logged_at = float("-inf")
-        self._client = None  # made with the first order: most processes never give one
+        self._client = None  # created for the first order: most processes never send one
         self._tasks: set[asyncio.Task] = set()
 
     def became_owner(self, group: str) -> None:
-        """This process has a group's lead."""
+        """This process has become the leader of a group."""
         self.owner_since[group] = self.clock()
         self.revisions.forget()
         self.planners = {key: planner for key, planner in self.planners.items() if key[0] != group}
 
-    def look(self, now: float) -> None:
-        """Give the orders that are called for now, one a service."""
+    def send_due_orders(self, now: float) -> None:
+        """Start the orders that are needed now, at most one per service."""
         for group in WORKER_GROUPS:
             waited = now - self.owner_since.get(group, now)
             if not self.host.has_lease(group) or waited < self.settings.bounds.lease_ms + HANDOVER_MS:
                 continue
-            # read while the lead is certain: a later term belongs to another owner
-            fence = self.host.groups[group].replica.hard_state.term
+            # read while leadership is certain: a later term belongs to another owner
+            token = self.host.groups[group].replica.hard_state.term
             services: dict[str, list[pb.Worker]] = {}
             for worker in self.host.groups[group].machine.workers.values():
                 if worker.phase:
@@ -80,49 +82,52 @@
                 load = self.schedulers.load(now, service)
                 order = planner.plan(now, workers, load)
                 self._log_split(now, service, workers, load, planner)
-                if order is not None and self.fenced_off.get(order.worker.id, -1) < fence:
-                    task = asyncio.get_running_loop().create_task(self._give(group, order, fence))
+                if order is not None and self.refused_tokens.get(order.worker.id, -1) < token:
+                    task = asyncio.get_running_loop().create_task(self._execute(group, order, token))
                     self._tasks.add(task)
                     task.add_done_callback(self._tasks.discard)
 
     def _log_split(
         self, now: float, service: str, workers: list[pb.Worker], load: pb.ServiceLoad, planner: PhasePlanner
     ) -> None:
-        """Say now and then that a service has another split of its workers than it should have."""
+        """Log, rate-limited, that the split of a service's workers is off its target."""
         if abs(planner.prefill_deficit) <= HYSTERESIS or now - self._split_logged_at < SPLIT_LOG_MS:
             return
         self._split_logged_at = now
         ready = [worker for worker in workers if worker.state == pb.READY]
-        readers = sum(worker.phase == PREFILL for worker in ready)
+        prefill_count = sum(worker.phase == PREFILL for worker in ready)
         logging.info(
-            "%s: %d of %d workers read prompts, %+.1f wanted; %.0f tokens/s to read, %.0f running",
+            "%s: %d of %d ready workers in prefill, deficit %+.1f; load: %.0f prefill tokens/s, %.0f running",
             service,
-            readers,
+            prefill_count,
             len(ready),
             planner.prefill_deficit,
             load.read_tokens_per_s,
             load.running,
         )
 
-    async def _give(self, group: str, order: PhaseOrder, fence: int) -> None:
+    async def _execute(self, group: str, order: PhaseOrder, token: int) -> None:
+        """Send an order and follow it up."""
         worker = order.worker
-        status = await self._post(order, fence)
+        status = await self._post(order, token)
         self.revisions.order_sent(worker.id)
         if status is None:
-            self.given[order.phase, "no answer"] += 1
+            self.outcomes[order.phase, "no answer"] += 1
             return
-        logging.info("%s ordered to %s: %d", worker.id, order.phase, status)
-        self.given[order.phase, str(status)] += 1
-        if status == FENCED_OFF:
-            logging.warning("%s has seen a higher token than %d: no more orders with it", worker.id, fence)
-            self.fenced_off[worker.id] = fence
+        logging.info("order to %s to switch to %s: status %d", worker.id, order.phase, status)
+        self.outcomes[order.phase, str(status)] += 1
+        if status == STALE_TOKEN:
+            logging.warning(
+                "%s has seen a higher fencing token than %d: no more orders with it", worker.id, token
+            )
+            self.refused_tokens[worker.id] = token
         elif status == CONFLICT:
-            await self._has_phase(worker, order.phase)
-        elif status in TAKEN:
-            await self._follow_up(group, order)
+            await self._has_completed(worker, order.phase)
+        elif status in ACCEPTED_STATUSES:
+            await self._await_completion(group, order)
 
-    async def _post(self, order: PhaseOrder, fence: int) -> int | None:
-        """Send an order; return the status of its answer, None where there is none."""
+    async def _post(self, order: PhaseOrder, token: int) -> int | None:
+        """Send an order; return the status of the response, None without a response."""
         import httpx
 
         worker = order.worker
@@ -130,7 +135,7 @@
             "Operation": "Phase",
             "Phase": order.phase,
             "Holder": self.settings.node_name,
-            "FencingToken": fence,
+            "FencingToken": token,
         }
         expected = self.revisions.expected(worker.id)
         if expected is not None:
@@ -144,32 +149,32 @@
                 headers={"Content-Type": "application/json", "Molespur-Expected-Instance": worker.id},
             )
         except httpx.HTTPError as error:
-            logging.warning("order to %s: %r", worker.id, error)
+            logging.warning("order to %s failed: %r", worker.id, error)
             return None
         return response.status_code
 
-    async def _follow_up(self, group: str, order: PhaseOrder) -> None:
-        """Note that a worker changes its part, and once it says so that it has."""
+    async def _await_completion(self, group: str, order: PhaseOrder) -> None:
+        """Record that a worker is switching its phase, and later that it has completed the switch."""
         worker, liveness = order.worker, self.calls.liveness[group]
-        await self._note(group, liveness.order_accepted(self.clock(), worker, order.phase))
+        await self._record(group, liveness.order_accepted(self.clock(), worker, order.phase))
         await asyncio.sleep(self._switch_s(worker.service))
-        for _ in range(REPORTS):
-            if await self._has_phase(worker, order.phase):
+        for _ in range(MAX_REPORT_POLLS):
+            if await self._has_completed(worker, order.phase):
                 changed = liveness.order_completed(worker.id)
                 if changed is not None:
-                    await self._note(group, changed)
+                    await self._record(group, changed)
                 return
-            await asyncio.sleep(REPORT_PAUSE_S)
+            await asyncio.sleep(REPORT_POLL_S)
 
-    async def _note(self, group: str, worker: pb.Worker) -> None:
-        """Put a worker's record into the shard."""
+    async def _record(self, group: str, worker: pb.Worker) -> None:
+        """Commit a worker's record to the shard."""
         try:
             await self.host.propose(group, pb.WorkerCommand(workers=[worker]).SerializeToString())
         except FleetError as error:
-            logging.warning("order to %s not noted: %s", worker.id, error)
+            logging.warning("state of %s after an order not recorded: %s", worker.id, error)
 
     def _switch_s(self, service: str) -> float:
-        """How long a worker of a service takes to change its part, by the configuration."""
+        """The time that a worker of a service needs to change its phase, from the configuration."""
         body = self.host.groups[CONFIGURATION].machine.body
         try:
             services = configuration.parse(body).services
@@ -178,10 +183,10 @@
         engines = [s.engine for s in services if s.name == service and s.engine is not None]
         return engines[0].role_switch_s if engines else DEFAULT_SWITCH_S
 
-    async def _has_phase(self, worker: pb.Worker, phase: str) -> bool:
-        """Whether a worker says that it has a part and no order under way: its next heartbeat may be late.
+    async def _has_completed(self, worker: pb.Worker, phase: str) -> bool:
+        """Whether a worker reports this phase and no order in progress; its next heartbeat may come later.
 
-        What it says of the orders that it has taken is kept for the next one.
+        The reported number of accepted orders is kept for the next order.
         """
         import httpx
 
--- a/molespur/system/control_plane/role.py
+++ b/molespur/system/control_plane/role.py
@@ -25,17 +25,17 @@
 from .figures import metrics
 from .orders import PhaseOrders
 
-LOOK_S = 0.1
-SILENCE_CHECK_S = 0.3
+PERIODIC_WORK_S = 0.1
+HEARTBEAT_CHECK_S = 0.3
 
 
 def clock() -> float:
-    """Milliseconds on the steady clock."""
+    """Milliseconds on the monotonic clock."""
     return time.monotonic() * 1000.0
 
 
 class ControlPlane:
-    """One control-plane process put together from its parts."""
+    """A control-plane process, assembled from its components."""
 
     def __init__(self, settings: ProcessSettings):
         self.settings = settings
@@ -59,50 +59,50 @@
         self._tasks: set[asyncio.Task] = set()
 
     def metrics(self) -> list[Metric]:
-        """All figures as they are now."""
+        """The current metrics."""
         failed_writes = self.host.writer.failures if self.host.writer is not None else 0
-        return metrics(self.host, self.feed, self.schedulers, self.orders.given, failed_writes, clock())
+        return metrics(self.host, self.feed, self.schedulers, self.orders.outcomes, failed_writes, clock())
 
     async def run(self) -> None:
-        """Serve until told to stop."""
+        """Serve until a stop is requested."""
         stop = wait_for_stop()
         loop = asyncio.get_running_loop()
         watch = SettingsWatch(self.host.reseed)
         ended = asyncio.Event()
-        repeated = (self.host.run(), self._repeat(), watch.run())
+        background = (self.host.run(), self._run_periodic_work(), watch.run())
         self.host.start(DiskWriter(self.host.store, self.host.written))
         listener = await loop.create_server(self._accept, self.settings.local_ip, self.settings.rpc_port)
-        served = asyncio.Event()
-        http = loop.create_task(self._serve(served))
+        http_stop = asyncio.Event()
+        http = loop.create_task(self._serve(http_stop))
         logging.info("control plane %s: replica %s", self.settings.node_name, self.host.replica_id)
-        leaving = loop.create_task(self._leave(stop, served, ended, http))
-        await until_stop(ended, *repeated, unexpected_end(http, served))
+        leaving = loop.create_task(self._leave(stop, http_stop, ended, http))
+        await until_stop(ended, *background, unexpected_end(http, http_stop))
         await leaving
         listener.close()
 
-    async def _serve(self, served: asyncio.Event) -> None:
+    async def _serve(self, http_stop: asyncio.Event) -> None:
         http = await imported("molespur.system.control_plane.http")
         await http.serve(
-            http.create_app(self.calls, self.metrics), self.settings.listen["ControlPlane"], served
+            http.create_app(self.calls, self.metrics), self.settings.listen["ControlPlane"], http_stop
         )
 
-    async def _leave(self, stop, served, ended, http) -> None:
-        """Wait to be told to stop, then hand over what this process leads."""
+    async def _leave(self, stop, http_stop, ended, http) -> None:
+        """Wait for a stop request, then hand over leadership and end."""
         await stop.wait()
         logging.info("stopping")
         await self.host.stop()
-        served.set()
+        http_stop.set()
         await http
         ended.set()
 
     def _accept(self) -> Channel:
-        channel = Channel(self._handle_frame, self._lost)
+        channel = Channel(self._handle_frame, self._channel_closed)
         self.channels.add(channel)
         return channel
 
-    def _lost(self, channel: Channel) -> None:
+    def _channel_closed(self, channel: Channel) -> None:
         self.channels.discard(channel)
-        self.feed.lost(channel)
+        self.feed.channel_closed(channel)
 
     def _role_changed(self, group: str) -> None:
         if self.host.leads(group):
@@ -118,7 +118,7 @@
             case "subscribe":
                 channel.label = frame.subscribe.node
                 self.feed.subscribe(channel, frame.subscribe)
-                self._feed_heartbeat()
+                self._send_feed_heartbeat()
             case "scheduler_heartbeat":
                 if self.schedulers.heartbeat(clock(), frame.scheduler_heartbeat):
                     self.announcements.scheduler_joined()
@@ -126,7 +126,7 @@
                 if self.schedulers.report(clock(), frame.monitor_report):
                     self.announcements.scheduler_reported()
             case "call":
-                task = asyncio.get_running_loop().create_task(self.calls.answer(channel, frame.call))
+                task = asyncio.get_running_loop().create_task(self.calls.reply_to(channel, frame.call))
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
             case "reply":
@@ -140,27 +140,27 @@
             case "leave_reply":
                 self.host.leaving.answered(frame.leave_reply)
 
-    def _feed_heartbeat(self) -> None:
+    def _send_feed_heartbeat(self) -> None:
         now = clock()
-        self.feed.heartbeat(self.schedulers.alive(now), self.schedulers.count(now))
+        self.feed.send_heartbeat(self.schedulers.alive(now), self.schedulers.count(now))
 
     def _announce(self, announcement: Announcement, now: float) -> None:
         if announcement is Announcement.FEED_HEARTBEAT:
-            self._feed_heartbeat()
+            self._send_feed_heartbeat()
             return
         report = pb.MonitorReport(alive=self.schedulers.next_report(now))
         self.host.tell_all(pb.Frame(monitor_report=report))
 
-    async def _repeat(self) -> None:
-        """What is done again and again."""
-        looked = 0.0
+    async def _run_periodic_work(self) -> None:
+        """Announcements, pending followers of the feed, checks of worker heartbeats, orders to workers."""
+        last_check_at = 0.0
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(PERIODIC_WORK_S)
             now = clock()
-            self.feed.start_waiting()
+            self.feed.start_pending_groups()
             for announcement in self.announcements.take_due(now):
                 self._announce(announcement, now)
-            if now - looked >= SILENCE_CHECK_S * 1000:
-                looked = now
-                await self.calls.look_for_silence()
-                self.orders.look(now)
+            if now - last_check_at >= HEARTBEAT_CHECK_S * 1000:
+                last_check_at = now
+                await self.calls.check_heartbeats()
+                self.orders.send_due_orders(now)
--- a/molespur/system/feed/__init__.py
+++ b/molespur/system/feed/__init__.py
@@ -1,1 +1,1 @@
-"""Snapshot and change feed from the control plane to the data plane."""
+"""The feed of snapshots and changes from the control plane to the data plane."""
--- a/molespur/system/feed/source.py
+++ b/molespur/system/feed/source.py
@@ -1,10 +1,11 @@
-"""The control plane's end of the feed: a snapshot, then changes, to every scheduler that follows.
+"""The control plane's side of the feed: a snapshot, then changes, to every scheduler that subscribes.
 
-A scheduler names the offset (log index) that it has of each group.  If the changes since then are still
-kept it gets these, else the whole state.  What it is sent never has a lower offset than what it has.
+A subscription carries the scheduler's offset (log index) of each group.  The scheduler receives the changes
+since that offset if they are still kept, otherwise a snapshot.  It is never sent a lower offset than it has.
 
-A scheduler that has nothing yet is started only on a state that certainly holds all that was acknowledged
-before it asked: the group's leader confirms an index with a majority, and this process has applied it.
+A scheduler without an offset is sent a snapshot only once the state here is certain to hold all that was
+acknowledged before it subscribed: the group's leader has confirmed an index with a majority, and this process
+has applied it.
 """
 
 import asyncio
@@ -21,49 +22,49 @@
 from ..shards.host import ReplicaHost
 from ..shards.placement import CONFIGURATION
 
-MAX_PEERS = 16  # schedulers that one exchanges its load with
-MAX_AGE_MS = 1_000_000  # told for any greater age, and where none is known
+MAX_PEERS = 16  # schedulers with which a scheduler exchanges its load
+MAX_AGE_MS = 1_000_000  # reported for any greater age, and for an unknown one
 
 
 @dataclass
 class Follower:
-    """One scheduler on one channel, and the offset up to which it was sent each group."""
+    """A subscribed scheduler and the offsets up to which it has been sent each group."""
 
     channel: Channel
     node: str
-    since: float  # when it came, ms on the steady clock
+    subscribed_at: float  # ms on the monotonic clock
     offsets: dict[str, int] = field(default_factory=dict)
-    started: set[str] = field(default_factory=set)  # groups that it is sent changes of
-    peers: list[str] | None = None  # the schedulers that it was told to exchange its load with
+    started: set[str] = field(default_factory=set)  # groups whose changes it is being sent
+    peers: list[str] | None = None  # the peers that it was last sent
 
 
 def peers_of(node: str, addresses: dict[str, str]) -> list[str]:
-    """The schedulers that one exchanges its load with: all others, or its neighbours where there are many.
+    """The schedulers with which a node exchanges its load: all others or, if there are many, its neighbours.
 
-    Who is whose neighbour is the same seen from both: positions on a ring, half of them on each side.
+    Neighbours are the nearest ones on a ring, half of them on each side, so the relation is symmetric.
     """
     ring = sorted((ring_position(other), other) for other in {*addresses, node})
     if len(ring) <= MAX_PEERS + 1:
         chosen = [other for _, other in ring if other != node]
     else:
-        at = next(number for number, (_, other) in enumerate(ring) if other == node)
-        steps = [*range(-MAX_PEERS // 2, 0), *range(1, MAX_PEERS // 2 + 1)]
-        chosen = [ring[(at + step) % len(ring)][1] for step in steps]
+        position = next(number for number, (_, other) in enumerate(ring) if other == node)
+        offsets = [*range(-MAX_PEERS // 2, 0), *range(1, MAX_PEERS // 2 + 1)]
+        chosen = [ring[(position + offset) % len(ring)][1] for offset in offsets]
     return sorted(addresses[other] for other in chosen if other in addresses)
 
 
 @dataclass(frozen=True, slots=True)
 class Confirmation:
-    """An index that holds all that was acknowledged before the time at which it was asked for."""
+    """A log index that covers all that was acknowledged before `requested_at`."""
 
-    asked_at: float
+    requested_at: float
     index: int
 
 
 class FeedSource:
     """Serves the feed from the groups that a process hosts.
 
-    `read_barrier(group)` gives an index that a leader has confirmed, or raises FleetError.
+    `read_barrier(group)` returns an index that the leader has confirmed, or raises FleetError.
     """
 
     def __init__(
@@ -75,33 +76,33 @@
         self.host, self.clock, self.read_barrier = host, clock, read_barrier
         self.followers: dict[Channel, Follower] = {}
         self._confirmations: dict[str, Confirmation] = {}
-        self._asking: dict[str, asyncio.Task] = {}
+        self._pending_confirmations: dict[str, asyncio.Task] = {}
 
     def subscribe(self, channel: Channel, request: pb.Subscribe) -> None:
-        """Take in a follower; groups whose state may be old here follow once it is not."""
+        """Add a follower; groups whose state here may be too old for it are started later."""
         offsets = {offset.group: offset.index for offset in request.offsets}
         follower = Follower(channel, request.node, self.clock(), offsets)
         self.followers[channel] = follower
         self.start(follower)
 
-    def lost(self, channel: Channel) -> None:
-        """The follower's channel has closed."""
+    def channel_closed(self, channel: Channel) -> None:
+        """Remove the follower of a closed channel."""
         self.followers.pop(channel, None)
 
-    def start_waiting(self) -> None:
-        """Begin with groups that could not be begun with earlier."""
+    def start_pending_groups(self) -> None:
+        """Start the groups that could not be started for a follower before."""
         for follower in list(self.followers.values()):
             if len(follower.started) < len(self.host.groups):
                 self.start(follower)
 
     def start(self, follower: Follower) -> None:
-        """Send a follower what it lacks of each group whose state here is new enough for it."""
+        """Send a follower the missing updates of each group whose state here is new enough for it."""
         for name, group in self.host.groups.items():
-            if name in follower.started or not self._new_enough(follower, name):
+            if name in follower.started or not self._is_new_enough(follower, name):
                 continue
             follower.started.add(name)
-            since = follower.offsets.get(name)
-            changes = None if since is None else group.history.after(since)
+            offset = follower.offsets.get(name)
+            changes = None if offset is None else group.history.after(offset)
             if changes is None:
                 index = group.replica.log.applied_index
                 self._send(follower, name, index, group.machine.feed_snapshot(), snapshot=True)
@@ -109,79 +110,83 @@
             for index, payload in changes:
                 self._send(follower, name, index, payload)
 
-    def _new_enough(self, follower: Follower, name: str) -> bool:
+    def _is_new_enough(self, follower: Follower, name: str) -> bool:
         replica = self.host.groups[name].replica
         if replica.log.commit_index <= 1:
             return False
-        since = follower.offsets.get(name)
-        if since is not None:
-            return replica.log.applied_index >= since  # however old this is, it is no older than theirs
+        offset = follower.offsets.get(name)
+        if offset is not None:
+            return replica.log.applied_index >= offset  # however old, not older than the follower's state
         confirmed = self._confirmations.get(name)
-        if confirmed is None or confirmed.asked_at < follower.since:
-            self._ask(name)
+        if confirmed is None or confirmed.requested_at < follower.subscribed_at:
+            self._request_confirmation(name)
             return False
         return replica.log.applied_index >= confirmed.index
 
-    def _ask(self, name: str) -> None:
-        """Have the state confirmed; one question at a time serves all followers that wait."""
-        if name not in self._asking:
-            self._asking[name] = asyncio.get_running_loop().create_task(self._confirm(name, self.clock()))
+    def _request_confirmation(self, name: str) -> None:
+        """Have an index confirmed; one request at a time serves all pending followers."""
+        if name not in self._pending_confirmations:
+            self._pending_confirmations[name] = asyncio.get_running_loop().create_task(
+                self._confirm(name, self.clock())
+            )
 
-    async def _confirm(self, name: str, asked_at: float) -> None:
+    async def _confirm(self, name: str, requested_at: float) -> None:
         try:
             index = await self.read_barrier(name)
         except FleetError as error:
-            logging.info("feed: %s is not confirmed: %s", name, error)
+            logging.info("feed: state of %s not confirmed: %s", name, error)
             return
         finally:
-            del self._asking[name]
-        self._confirmations[name] = Confirmation(asked_at, index)
-        self.start_waiting()
+            del self._pending_confirmations[name]
+        self._confirmations[name] = Confirmation(requested_at, index)
+        self.start_pending_groups()
 
     def changed(self, name: str, index: int, payload: bytes) -> None:
-        """A change was committed: tell all that follow."""
+        """Send a committed change to the followers of the group."""
         for follower in list(self.followers.values()):
             if name in follower.started:
                 self._send(follower, name, index, payload)
 
     def restored(self, name: str) -> None:
-        """The group's state here was replaced as a whole."""
+        """The group's state here was replaced by a snapshot: start it again for all followers."""
         for follower in self.followers.values():
             follower.started.discard(name)
 
     def pong(self, channel: Channel, ping: pb.Ping) -> pb.Pong:
-        """The answer to a ping: how old the state here is, and whether the asker was sent all of it.
+        """The reply to a ping: the age of the state here, and whether the sender has been sent all of it.
 
-        Updates go before it on the same channel, so it holds for the asker as well once it arrives.
+        Updates precede it on the same channel, so its content holds for the sender once it arrives.
         """
         follower = self.followers.get(channel)
         return pb.Pong(
             sent_at_ms=ping.sent_at_ms,
-            state_age_ms=_told(self.host.state_age_ms()),
-            configuration_age_ms=_told(self.host.state_age_ms(CONFIGURATION)),
+            state_age_ms=_rounded_age(self.host.state_age_ms()),
+            configuration_age_ms=_rounded_age(self.host.state_age_ms(CONFIGURATION)),
             follows=follower is not None and len(follower.started) == len(self.host.groups),
         )
 
-    def heartbeat(self, schedulers: dict[str, pb.SchedulerHeartbeat], count: int) -> None:
-        """Tell every follower that this process lives, how fresh it is, and which schedulers there are.
+    def send_heartbeat(self, schedulers: dict[str, pb.SchedulerHeartbeat], count: int) -> None:
+        """Send every follower the age of the state here, the control-plane processes and its peers.
 
-        `count`: how many these are for certain; 0: not known yet.
+        `count`: the number of schedulers; 0: not known yet.
         """
         frame = pb.Frame()
-        beat = frame.feed_heartbeat
-        beat.state_age_ms = _told(self.host.state_age_ms())
-        beat.schedulers = count
+        heartbeat = frame.feed_heartbeat
+        heartbeat.state_age_ms = _rounded_age(self.host.state_age_ms())
+        heartbeat.schedulers = count
         for member in self.host.members():
-            beat.core.add(
+            heartbeat.core.add(
                 rpc_address=member.rpc_address, control_address=member.control_address, zone=member.zone
             )
-        addresses = {node: told.peer_address for node, told in schedulers.items() if told.peer_address}
+        addresses = {
+            node: message.peer_address for node, message in schedulers.items() if message.peer_address
+        }
         for follower in list(self.followers.values()):
             peers = peers_of(follower.node, addresses)
-            beat.peers_told = peers != follower.peers
-            del beat.peers[:]
-            if beat.peers_told:
-                beat.peers.extend(peers)
+            heartbeat.peers_told = peers != follower.peers
+            del heartbeat.peers[:]
+            if heartbeat.peers_told:
+                heartbeat.peers.extend(peers)
                 follower.peers = peers
             follower.channel.send(frame)
 
@@ -192,6 +197,6 @@
         follower.channel.send(pb.Frame(update=update))
 
 
-def _told(age_ms: float) -> int:
-    """An age as it goes into a message, rounded up."""
+def _rounded_age(age_ms: float) -> int:
+    """An age for a message, rounded up and bounded."""
     return max(ceil(min(age_ms, MAX_AGE_MS)), 0)
--- a/molespur/system/feed/sources.py
+++ b/molespur/system/feed/sources.py
@@ -1,7 +1,7 @@
-"""Which control-plane process a scheduler follows, and when it turns to another.  Pure.
+"""Which control-plane process a scheduler follows, and when it changes to another one.  No I/O.
 
-Times are milliseconds on the scheduler's steady clock.  A source is judged by the age of the state that
-it brings, never by how lately it, or its leader, was heard of.
+Times are milliseconds on the scheduler's monotonic clock.  A source is judged by the age of the state that it
+delivers, never by the time of the last message from it or from its leader.
 """
 
 from collections.abc import Callable, Iterable
@@ -9,168 +9,172 @@
 from enum import Enum
 from random import Random
 
-from .budget import UNREACHABLE_MS, FreshnessBudget
+from .budget import UNREACHABLE_TIMEOUT_MS, FreshnessBudget
 
-PATIENCE_MS = 400.0  # least time on a source whose own state is old
-START_PATIENCE_MS = 1200.0  # the same where it is fresh, but has not sent everything yet
-FRESHER_MS = 250.0  # another process is worth a turn where its state is newer by this much
-SEARCH_MS = 600.0  # least time on a source while no better one is known
-REPORT_VALID_MS = 1500.0  # what a process said of its age counts this long
-HOMEWARD_MS = 3000.0  # least time on a source of another zone before one of the own zone is tried
+MIN_STAY_MS = 400.0  # min. time on a source whose own state is old
+MIN_STARTUP_STAY_MS = 1200.0  # min. time on a source that is fresh, but has not sent everything yet
+MIN_AGE_GAIN_MS = 250.0  # another source is worth a change if its state is newer by this much
+MIN_SEARCH_STAY_MS = 600.0  # min. time on a source while no better one is known
+REPORT_VALID_MS = 1500.0  # the age that a process has reported is used for this long
+MIN_REMOTE_STAY_MS = 3000.0  # min. time on a source in another zone before one in the own zone is tried
 
 
 class LeaveReason(Enum):
     """Why a source is left."""
 
     UNREACHABLE = "unreachable"
-    OLD = "its state is old"
-    FAR = "another is nearer"
+    STALE = "its state is old"
+    REMOTE = "another source is in the own zone"
 
 
 @dataclass(slots=True)
 class _Report:
-    """What a process has said of its own state."""
+    """The state that a process has reported for itself."""
 
-    confirmed_at: float = float("-inf")  # it holds all that was acknowledged before, in every shard
+    confirmed_at: float = float("-inf")  # it has all that was acknowledged before this time, in every shard
     configuration_confirmed_at: float = float("-inf")  # the same for the configuration alone
-    heard_at: float = float("-inf")
+    received_at: float = float("-inf")
 
 
-_NEVER = _Report()
+_NO_REPORT = _Report()
 
 
 @dataclass(frozen=True, slots=True)
-class Turn:
-    """The step to another source."""
+class SourceChange:
+    """A change to another source."""
 
     address: str
-    reason: LeaveReason | None  # None: there was none before
+    reason: LeaveReason | None  # None: there was no source before
 
 
-class SourceChoice:
-    """The state behind the choice: what each process has said, and how old the scheduler's own state is."""
+class SourceSelector:
+    """Selects the source from the ages that processes report, and tracks the age of the scheduler's state."""
 
     def __init__(self, zone: str, budget: FreshnessBudget, random: Random):
         self.zone, self.budget, self.random = zone, budget, random
-        self.zones: dict[str, str] = {}  # RPC address -> zone; "" where it is not known yet
-        self.address: str | None = None  # the source
+        self.zones: dict[str, str] = {}  # RPC address -> zone; "" while it is unknown
+        self.address: str | None = None  # the current source
         self.since = float("-inf")
-        self.confirmed_at = float("-inf")  # this scheduler has all that was acknowledged before
+        self.confirmed_at = float("-inf")  # this scheduler has all that was acknowledged before this time
         self.configuration_confirmed_at = float("-inf")
         self._reports: dict[str, _Report] = {}
-        self._left_for_home_at = float("-inf")
-        self._untried: list[str] = []  # the next one is taken from the end
+        self._changed_to_own_zone_at = float("-inf")
+        self._untried: list[str] = []  # candidates in reverse order: the next one is the last
 
-    # -- What is heard -------------------------------------------------------------------------
+    # -- Reported ages -------------------------------------------------------------------------
 
     def reported(
         self, now: float, address: str, sent_at: float, age: float, configuration_age: float
     ) -> None:
-        """A process has answered a question of this time with the ages of its own state."""
+        """A process has replied with the ages of its state to a ping that was sent at `sent_at`."""
         report = self._reports.setdefault(address, _Report())
         report.confirmed_at = max(report.confirmed_at, sent_at - age)
         report.configuration_confirmed_at = max(
             report.configuration_confirmed_at, sent_at - configuration_age
         )
-        report.heard_at = now
+        report.received_at = now
 
-    def told_everything(self, sent_at: float, age: float, configuration_age: float) -> None:
-        """The source has sent all that its state held when it answered a question of this time."""
+    def caught_up(self, sent_at: float, age: float, configuration_age: float) -> None:
+        """The source has sent all that its state held when it replied to a ping sent at `sent_at`."""
         self.confirmed_at = max(self.confirmed_at, sent_at - age)
         self.configuration_confirmed_at = max(self.configuration_confirmed_at, sent_at - configuration_age)
 
     def age(self, now: float) -> float:
-        """Time since which something may have been acknowledged that this scheduler lacks."""
+        """The time since which this scheduler may lack acknowledged changes."""
         return now - self.confirmed_at
 
-    def is_old(self, now: float) -> bool:
-        """Whether the state here is so old that another source is called for."""
-        return self.age(now) > self.budget.leave_ms
+    def is_stale(self, now: float) -> bool:
+        """Whether the state of this scheduler is so old that it should look for another source."""
+        return self.age(now) > self.budget.leave_age_ms
 
     def configuration_age(self, now: float) -> float:
-        """The same for the configuration alone."""
+        """Like `age`, for the configuration alone."""
         return now - self.configuration_confirmed_at
 
-    # -- Whom to ask ---------------------------------------------------------------------------
-
-    def home(self) -> str | None:
-        """A process of the own zone that is worth asking while the source is in another one."""
+    def own_zone_candidate(self) -> str | None:
+        """A process of the own zone, to be pinged while the source is in another zone."""
         if self.address is None or self.zones.get(self.address, "") in ("", self.zone):
             return None
         return min((address for address, zone in self.zones.items() if zone == self.zone), default=None)
 
-    # -- The choice ----------------------------------------------------------------------------
+    # -- Selection -----------------------------------------------------------------------------
 
-    def look(self, now: float, reachable: bool) -> Turn | None:
-        """The turn that is due; `reachable`: whether a channel to the source is open."""
+    def select(self, now: float, reachable: bool) -> SourceChange | None:
+        """The change of source that is due, if any; `reachable`: whether a channel to the source is open."""
         if self.address is None:
-            return self._turn(now, self._next(now), None)
+            return self._change_source(now, self._next_candidate(now), None)
         waited = now - self.since
-        if not reachable and waited > UNREACHABLE_MS:
-            return self._turn(now, self._freshest(now) or self._next(now), LeaveReason.UNREACHABLE)
-        if self.is_old(now) and waited > self._patience(now):
+        if not reachable and waited > UNREACHABLE_TIMEOUT_MS:
+            return self._change_source(
+                now, self._freshest(now) or self._next_candidate(now), LeaveReason.UNREACHABLE
+            )
+        if self.is_stale(now) and waited > self._min_stay(now):
             better = self._freshest(now)
             if better is not None:
-                return self._turn(now, better, LeaveReason.OLD)
-            if waited > SEARCH_MS and self._unheard(now):
-                return self._turn(now, self._next(now), LeaveReason.OLD)
-        home = self.home()
-        settled = min(waited, now - self._left_for_home_at) > HOMEWARD_MS
-        if home is not None and settled and self._report_age(now, home) < self.budget.leave_ms:
-            self._left_for_home_at = now
-            return self._turn(now, home, LeaveReason.FAR)
+                return self._change_source(now, better, LeaveReason.STALE)
+            if waited > MIN_SEARCH_STAY_MS and self._without_report(now):
+                return self._change_source(now, self._next_candidate(now), LeaveReason.STALE)
+        candidate = self.own_zone_candidate()
+        may_return = min(waited, now - self._changed_to_own_zone_at) > MIN_REMOTE_STAY_MS
+        if (
+            candidate is not None
+            and may_return
+            and self._reported_age(now, candidate) < self.budget.leave_age_ms
+        ):
+            self._changed_to_own_zone_at = now
+            return self._change_source(now, candidate, LeaveReason.REMOTE)
         return None
 
-    def _turn(self, now: float, address: str, reason: LeaveReason | None) -> Turn:
-        """The one place where the source changes."""
+    def _change_source(self, now: float, address: str, reason: LeaveReason | None) -> SourceChange:
+        """Change the source; nothing else does."""
         self.address, self.since = address, now
-        return Turn(address, reason)
+        return SourceChange(address, reason)
 
-    def _patience(self, now: float) -> float:
-        fresh = self._report_age(now, self.address) < self.budget.leave_ms
-        return START_PATIENCE_MS if fresh else PATIENCE_MS
+    def _min_stay(self, now: float) -> float:
+        is_fresh = self._reported_age(now, self.address) < self.budget.leave_age_ms
+        return MIN_STARTUP_STAY_MS if is_fresh else MIN_STAY_MS
 
-    def _report(self, now: float, address: str) -> _Report:
-        """What a process has said lately; nothing where it has not."""
-        report = self._reports.get(address, _NEVER)
-        return report if now - report.heard_at <= REPORT_VALID_MS else _NEVER
+    def _valid_report(self, now: float, address: str) -> _Report:
+        """The recent report of a process, or an empty one."""
+        report = self._reports.get(address, _NO_REPORT)
+        return report if now - report.received_at <= REPORT_VALID_MS else _NO_REPORT
 
-    def _report_age(self, now: float, address: str) -> float:
-        """The age of a process's state; inf where it has not said lately."""
-        return now - self._report(now, address).confirmed_at
+    def _reported_age(self, now: float, address: str) -> float:
+        """The age of a process's state; inf without a recent report."""
+        return now - self._valid_report(now, address).confirmed_at
 
-    def _report_configuration_age(self, now: float, address: str) -> float:
-        """The same for its configuration alone."""
-        return now - self._report(now, address).configuration_confirmed_at
+    def _reported_configuration_age(self, now: float, address: str) -> float:
+        """Like `_reported_age`, for the configuration alone."""
+        return now - self._valid_report(now, address).configuration_confirmed_at
 
     def _others(self) -> Iterable[str]:
         return (address for address in self.zones if address != self.address)
 
     def _freshest(self, now: float) -> str | None:
-        """Another process whose state is fresh, one of the own zone before others.
+        """Another process with fresh state, preferably in the own zone.
 
-        Where the configuration is old it alone decides: a shard of workers without a leader makes every
-        process old, and would hide which of them has the newest configuration.
+        If the configuration is old, it alone is compared: a worker shard without a leader makes the state of
+        every process old, and would hide which of them has the newest configuration.
         """
-        if self.configuration_age(now) > self.budget.leave_ms:
-            return self._fresher_by(now, self._report_configuration_age, self.configuration_age(now))
-        return self._fresher_by(now, self._report_age, self.age(now))
+        if self.configuration_age(now) > self.budget.leave_age_ms:
+            return self._fresher_by(now, self._reported_configuration_age, self.configuration_age(now))
+        return self._fresher_by(now, self._reported_age, self.age(now))
 
-    def _fresher_by(self, now: float, age_of: Callable[[float, str], float], own: float) -> str | None:
-        most = min(self.budget.leave_ms, own - FRESHER_MS)
-        fresh = [a for a in self._others() if age_of(now, a) < most]
+    def _fresher_by(self, now: float, age_of: Callable[[float, str], float], own_age: float) -> str | None:
+        max_age = min(self.budget.leave_age_ms, own_age - MIN_AGE_GAIN_MS)
+        fresh = [a for a in self._others() if age_of(now, a) < max_age]
         return min(fresh, key=lambda a: (self.zones[a] != self.zone, age_of(now, a)), default=None)
 
-    def _unheard(self, now: float) -> list[str]:
-        """The other processes that have said nothing of their age lately."""
-        return [a for a in self._others() if self._report(now, a) is _NEVER]
+    def _without_report(self, now: float) -> list[str]:
+        """The other processes without a recent report."""
+        return [a for a in self._others() if self._valid_report(now, a) is _NO_REPORT]
 
-    def _next(self, now: float) -> str:
-        """Processes of which nothing is known, in turn: those of the own zone first, else in an order by lot.
+    def _next_candidate(self, now: float) -> str:
+        """The next process without a recent report: those of the own zone first, otherwise in random order.
 
-        One that has said lately that its state is old is no better than the source that is left.
+        A process that has reported old state is no better than the source that is left.
         """
-        candidates = self._unheard(now) or list(self._others()) or list(self.zones)
+        candidates = self._without_report(now) or list(self._others()) or list(self.zones)
         self._untried = [a for a in self._untried if a in candidates]
         if not self._untried:
             self.random.shuffle(candidates)
--- a/tests/system/control.py
+++ b/tests/system/control.py
@@ -89,7 +89,7 @@
 
     def look(self, source):
         """Let the feed look for followers that wait."""
-        self._in_loop(source.start_waiting)
+        self._in_loop(source.start_pending_groups)
 
     def _in_loop(self, call):
         async def called():
@@ -127,7 +127,7 @@
 
     def silence(self):
         """Look for workers that have fallen silent."""
-        self.loop.run_until_complete(self.calls.look_for_silence())
+        self.loop.run_until_complete(self.calls.check_heartbeats())
 
     def close(self):
         for dialer in self.host.dialers.values():
--- a/tests/system/test_feed.py
+++ b/tests/system/test_feed.py
@@ -167,11 +167,11 @@
 
 def all_but(follower, address, other, own):
     """Ages of all processes: `own` of one, `other` of the rest."""
-    return {a: own if a == address else other for a in follower.choice.zones}
+    return {a: own if a == address else other for a in follower.selector.zones}
 
 
 def test_what_is_in_force_never_goes_back(follower):
-    follower._watch(0.0)
+    follower._check_source(0.0)
     for index, snapshot in ((9, True), (7, True), (9, False), (12, False)):
         frame_from(
             follower,
@@ -200,16 +200,16 @@
     assert follower.source is first, "that is not old yet"
     watch(follower, 600, beat(), all_but(follower, first.address, 100, 1500))
     assert follower.source is not first and first.stopped
-    assert follower.choice.age(follower.now) <= 400.0
+    assert follower.selector.age(follower.now) <= 400.0
 
 
 def test_nobody_turns_round_and_round_while_every_state_is_old(follower):
     follower.step(0.0)
     watch(follower, 1000, beat(), all_but(follower, None, 100, 100))
     for step in range(20):
-        for address in follower.choice.zones:
+        for address in follower.selector.zones:
             age = 3000.0 + 200 * step
-            follower.choice.reported(follower.now, address, follower.now, age, age)
+            follower.selector.reported(follower.now, address, follower.now, age, age)
         follower.now += 200.0
         follower.step(follower.now)
     made = [dialer.address for dialer in FakeDialer.made if not dialer.stopped]
@@ -237,7 +237,7 @@
 
 def test_what_another_than_the_source_says_makes_nobody_fresh(follower):
     follower.step(0.0)
-    follower.heartbeat()
+    follower.send_heartbeat()
     other = next(iter(follower.monitors.values()))
     pong = pb.Pong(sent_at_ms=1, state_age_ms=0, configuration_age_ms=0, follows=True)
     frame_from(follower, pb.Frame(pong=pong), other)
@@ -247,11 +247,11 @@
 def test_a_refusal_needs_a_configuration_that_is_newer_than_the_promise(follower):
     follower.step(0.0)
     watch(follower, 400, beat(), all_but(follower, None, 100, 100))
-    confirmed_at = follower.choice.configuration_confirmed_at
-    follower.now = confirmed_at + follower.choice.budget.refuse_ms
+    confirmed_at = follower.selector.configuration_confirmed_at
+    follower.now = confirmed_at + follower.selector.budget.max_refusal_age_ms
     assert follower.may_refuse()
     follower.now += 1.0
-    assert not follower.may_refuse() and follower.choice.budget.refuse_ms < 2000.0
+    assert not follower.may_refuse() and follower.selector.budget.max_refusal_age_ms < 2000.0
 
 
 def test_a_source_that_no_channel_opens_to_is_left_sooner(follower):
@@ -260,12 +260,12 @@
     first.channel = None
     for _ in range(2):
         follower.now += 200.0
-        follower._watch(follower.now)
+        follower._check_source(follower.now)
     assert follower.source is not first and first.stopped
 
 
 def test_frames_of_a_source_that_was_left_are_not_taken(follower):
-    follower._watch(0.0)
+    follower._check_source(0.0)
     first = follower.source
     watch(follower, 1600)
     assert follower.source is not first
@@ -288,7 +288,7 @@
 
 
 def test_heartbeats_go_to_the_monitors_and_say_when_it_leaves(follower):
-    follower._watch(0.0)
+    follower._check_source(0.0)
     greeted = len(beats_sent())
     follower.leave()
     told = beats_sent()
@@ -309,9 +309,9 @@
 def test_a_monitor_is_told_of_a_scheduler_as_soon_as_it_can_be_reached(follower, monkeypatch):
     """What is sent before a channel is open is lost, and the next heartbeat is 0.6 s away."""
     monkeypatch.setattr(FakeDialer, "send", lambda self, frame: None)
-    follower._watch(0.0)
-    follower.heartbeat()
-    wanted = following.monitors("edge-1", follower.choice.zones)
+    follower._check_source(0.0)
+    follower.send_heartbeat()
+    wanted = following.monitors("edge-1", follower.selector.zones)
     assert sorted(address for address, _ in beats_sent()) == sorted(wanted)
     assert all(beat.peer_address == "10.0.0.9:7010" and not beat.leaving for _, beat in beats_sent())
 
@@ -348,9 +348,9 @@
 
 
 def test_a_heartbeat_tells_the_version_in_force_and_how_old_it_may_be(follower):
-    told = follower._beat()
+    told = follower._heartbeat_message()
     assert (told.configuration_version, told.configuration_age_ms) == (0, 1_000_000)
     follower.configuration_version = lambda: 12
-    follower.choice.told_everything(-30.0, 10.0, 10.0)
-    told = follower._beat()
+    follower.selector.caught_up(-30.0, 10.0, 10.0)
+    told = follower._heartbeat_message()
     assert (told.configuration_version, told.configuration_age_ms) == (12, 40)
--- a/tests/system/test_orders.py
+++ b/tests/system/test_orders.py
@@ -68,7 +68,7 @@
 
 def look_until_ordered(plane, orders):
     for _ in range(4):
-        orders.look(plane.now)
+        orders.send_due_orders(plane.now)
         if orders._tasks:
             return
         plane.pass_time(300.0)
@@ -98,7 +98,7 @@
         orders = orders_of(plane)
         wait = plane.host.settings.bounds.lease_ms + HANDOVER_MS
         while plane.now - orders.owner_since[GROUP] < wait:
-            orders.look(plane.now)
+            orders.send_due_orders(plane.now)
             assert not orders._tasks
             plane.pass_time(200.0)
         look_until_ordered(plane, orders)
@@ -116,12 +116,12 @@
             orders = orders_of(plane)
             plane.pass_time(plane.host.settings.bounds.lease_ms + HANDOVER_MS + 100.0)
             for _ in range(400):
-                orders.look(plane.now)
+                orders.send_due_orders(plane.now)
                 plane.pass_time(300.0)
                 if orders._tasks:
                     await asyncio.gather(*orders._tasks)
-            assert len(orders.fenced_off) > 1
-            assert len(taken) == len(orders.fenced_off), "each worker was asked once with this fence"
+            assert len(orders.refused_tokens) > 1
+            assert len(taken) == len(orders.refused_tokens), "each worker was asked once with this fence"
 
     plane.loop.run_until_complete(scenario())
 
@@ -175,7 +175,7 @@
 def give(plane, scenario, monkeypatch):
     """Run a scenario(worker, give) in which `give(phase)` carries one order out to its end."""
     monkeypatch.setattr("molespur.system.control_plane.orders.DEFAULT_SWITCH_S", 0.0)
-    monkeypatch.setattr("molespur.system.control_plane.orders.REPORT_PAUSE_S", 0.0)
+    monkeypatch.setattr("molespur.system.control_plane.orders.REPORT_POLL_S", 0.0)
 
     async def run():
         worker = CountingWorker()
@@ -184,7 +184,7 @@
             record = pb.Worker(id="w-0", service=SERVICE, address=address, phase="decode", capacity=64)
 
             async def give_order(phase):
-                await orders._give(GROUP, PhaseOrder(record, phase), 7)
+                await orders._execute(GROUP, PhaseOrder(record, phase), 7)
 
             await scenario(worker, orders, give_order)
 
@@ -209,7 +209,7 @@
         await give_order("prefill")
         assert worker.statuses == [202, 409] and worker.phase == "decode"
         assert worker.reports == reports + 1, "it is asked what it does"
-        assert orders.given["prefill", "409"] == 1
+        assert orders.outcomes["prefill", "409"] == 1
         await give_order("prefill")
         assert worker.orders[-1]["IfRevision"] == 9 and worker.statuses[-1] == 202
 
@@ -255,7 +255,7 @@
             self.sent.append(frame.reply.status)
 
     call = pb.Call(id=1, method=IS_LEADER, subject=CONFIGURATION)
-    plane.loop.run_until_complete(plane.calls.answer(Pipe(), call))
+    plane.loop.run_until_complete(plane.calls.reply_to(Pipe(), call))
     plane.host.in_touch = lambda _name: False
-    plane.loop.run_until_complete(plane.calls.answer(Pipe(), call))
+    plane.loop.run_until_complete(plane.calls.reply_to(Pipe(), call))
     assert Pipe.sent == [200, 503]
--- a/tests/system/test_sources.py
+++ b/tests/system/test_sources.py
@@ -1,38 +1,38 @@
-"""The choice of a source: by the age of the state that each brings."""
+"""The selector of a source: by the age of the state that each brings."""
 
 from random import Random
 
 import pytest
 
-from molespur.system.feed.budget import LOOK_MS, FreshnessBudget
-from molespur.system.feed.sources import SEARCH_MS, LeaveReason, SourceChoice
+from molespur.system.feed.budget import CHECK_INTERVAL_MS, FreshnessBudget
+from molespur.system.feed.sources import MIN_SEARCH_STAY_MS, LeaveReason, SourceSelector
 
 PROMISE_MS = 2000.0
-LEAVE_MS = FreshnessBudget(PROMISE_MS).leave_ms
+LEAVE_MS = FreshnessBudget(PROMISE_MS).leave_age_ms
 
 
 class Scheduler:
-    """A choice whose processes answer with the ages that the test sets; None: no answer."""
+    """A selector whose processes answer with the ages that the test sets; None: no answer."""
 
     def __init__(self, zones):
-        self.choice = SourceChoice("a", FreshnessBudget(PROMISE_MS), Random(3))
-        self.choice.zones = dict(zones)
+        self.selector = SourceSelector("a", FreshnessBudget(PROMISE_MS), Random(3))
+        self.selector.zones = dict(zones)
         self.ages = dict.fromkeys(zones, 100.0)
         self.configuration_ages = {}  # where they differ
         self.now, self.turns = 0.0, []
 
     def run(self, ms, reachable=True):
-        for _ in range(int(ms / LOOK_MS)):
-            turn = self.choice.look(self.now, reachable)
+        for _ in range(int(ms / CHECK_INTERVAL_MS)):
+            turn = self.selector.select(self.now, reachable)
             if turn is not None:
                 self.turns.append(turn)
             for address, age in self.ages.items():
                 if age is not None:
                     configuration_age = self.configuration_ages.get(address, age)
-                    self.choice.reported(self.now, address, self.now, age, configuration_age)
-                    if address == self.choice.address:
-                        self.choice.told_everything(self.now, age, configuration_age)
-            self.now += LOOK_MS
+                    self.selector.reported(self.now, address, self.now, age, configuration_age)
+                    if address == self.selector.address:
+                        self.selector.caught_up(self.now, age, configuration_age)
+            self.now += CHECK_INTERVAL_MS
         return self.turns[-1]
 
 
@@ -50,8 +50,8 @@
 
 def test_an_old_source_is_left_for_the_freshest_of_the_others(scheduler):
     scheduler.ages.update(p=None, q=700.0, r=150.0)
-    turn = scheduler.run(LEAVE_MS + 3 * LOOK_MS)
-    assert (turn.address, turn.reason) == ("r", LeaveReason.OLD)
+    turn = scheduler.run(LEAVE_MS + 3 * CHECK_INTERVAL_MS)
+    assert (turn.address, turn.reason) == ("r", LeaveReason.STALE)
 
 
 def test_a_source_is_not_left_for_one_that_is_hardly_fresher(scheduler):
@@ -61,7 +61,7 @@
 
 def test_one_that_has_said_that_it_is_old_is_not_tried_while_another_has_said_nothing(scheduler):
     scheduler.ages.update(p=None, q=5000.0, r=None)
-    turn = scheduler.run(LEAVE_MS + SEARCH_MS + 2000.0)
+    turn = scheduler.run(LEAVE_MS + MIN_SEARCH_STAY_MS + 2000.0)
     assert "q" not in [t.address for t in scheduler.turns] and turn.address in ("p", "r")
 
 
@@ -73,15 +73,15 @@
 
 def test_an_unreachable_source_is_left_at_once(scheduler):
     began = scheduler.now
-    scheduler.run(3 * LOOK_MS, reachable=False)
+    scheduler.run(3 * CHECK_INTERVAL_MS, reachable=False)
     assert scheduler.turns[1].reason is LeaveReason.UNREACHABLE
-    assert scheduler.choice.since - began <= 2 * LOOK_MS
+    assert scheduler.selector.since - began <= 2 * CHECK_INTERVAL_MS
 
 
 def test_an_age_never_falls_by_an_old_answer(scheduler):
-    before = scheduler.choice.confirmed_at
-    scheduler.choice.told_everything(0.0, 0.0, 0.0)
-    assert scheduler.choice.confirmed_at == before
+    before = scheduler.selector.confirmed_at
+    scheduler.selector.caught_up(0.0, 0.0, 0.0)
+    assert scheduler.selector.confirmed_at == before
 
 
 def test_a_shard_without_a_leader_hides_no_old_configuration(scheduler):
--- a/tests/system/virtual_fleet.py
+++ b/tests/system/virtual_fleet.py
@@ -221,7 +221,7 @@
         self._run()
 
     def _run(self):
-        parts = (self.plane.host.run(), self.plane._repeat())
+        parts = (self.plane.host.run(), self.plane._run_periodic_work())
         self.tasks = [self.fleet.loop.create_task(part) for part in parts]
 
     def freeze(self):
@@ -485,7 +485,7 @@
         while True:
             following.Dialer = dialer  # each turn of a follower is one step without a wait
             made.step(self.clock())
-            await asyncio.sleep(following.WATCH_S)
+            await asyncio.sleep(following.CHECK_INTERVAL_S)
 
     # -- Callers -------------------------------------------------------------------------------
 
