--- a/tests/system/test_faults.py
+++ b/tests/system/test_faults.py
@@ -1,4 +1,4 @@
-"""Every numbered fault point is struck in turn; what must hold holds at each."""
+"""Every fault point is triggered in turn; the invariants hold at each."""
 
 import asyncio
 import json
@@ -22,7 +22,7 @@
 
 
 @pytest.fixture(autouse=True)
-def all_points_work_again():
+def disarm_all_points():
     yield
     faults.disarm()
 
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("point", REQUEST_POINTS)
 def test_a_request_at_each_point(point):
-    """The client gets the whole answer or none that could be taken for it; nothing runs twice."""
+    """The client gets the complete response or one that can't be mistaken for it; nothing runs twice."""
 
     async def scenario():
         freed = asyncio.Event()
@@ -47,21 +47,26 @@
                 return answer(request, stamp=False)
             return prefill(request)
 
-        reader = ScriptedWorker("p", read_or_free, phase="prefill")
-        runner = ScriptedWorker("d", stream(chunk(event(1)), chunk(event(2)), LAST_CHUNK), phase="decode")
-        async with data_plane(configuration("streaming", engine=True), reader, runner) as (port, ingress):
+        prefill_worker = ScriptedWorker("p", read_or_free, phase="prefill")
+        decode_worker = ScriptedWorker(
+            "d", stream(chunk(event(1)), chunk(event(2)), LAST_CHUNK), phase="decode"
+        )
+        async with data_plane(configuration("streaming", engine=True), prefill_worker, decode_worker) as (
+            port,
+            ingress,
+        ):
             ingress.state.budget("s").minimum = 50.0
             fail_at(point)
             client = await Client.connect(port)
             await client.send(request(extra=PROMPT))
-            status, head, body, whole = await client.response()
-            runs = [r for r in runner.requests if b"Serving-Phase" not in r]
+            status, head, body, complete = await client.response()
+            runs = [r for r in decode_worker.requests if b"Serving-Phase" not in r]
             assert len(runs) <= 1
             if status == 200:
-                assert not whole or body == event(1) + event(2)
+                assert not complete or body == event(1) + event(2)
             else:
                 assert status in (502, 503) and b"Server-Stamp" not in head
-                assert status == 502 or not runs, "a promise was made of what may have run"
+                assert status == 502 or not runs, "503 guarantees that nothing has run"
             if point is FaultPoint.AFTER_PREFILL:
                 faults.disarm()
                 await asyncio.wait_for(freed.wait(), 10)
@@ -76,14 +81,14 @@
 BODY = json.dumps({"Version": 3, "Routes": [], "Services": []}).encode()
 
 
-def test_a_record_that_was_not_committed_is_tried_again_and_counts_only_then(tmp_path):
+def test_a_record_whose_commit_failed_is_stored_by_the_next_attempt(tmp_path):
     store = Store(tmp_path)
     record = ("g", raft.Persist(raft.HardState(2, "v"), entries=[pb.LogEntry(index=1, term=2)]))
 
-    def full():
+    def disk_full():
         raise sqlite3.OperationalError("database or disk is full")
 
-    faults.arm(FaultPoint.BEFORE_COMMIT, full)
+    faults.arm(FaultPoint.BEFORE_COMMIT, disk_full)
     with pytest.raises(sqlite3.OperationalError):
         store.write([record])
     assert store.load("g").hard_state.term == 0
@@ -101,16 +106,16 @@
         (FaultPoint.BEFORE_ACKNOWLEDGEMENT, True),
     ],
 )
-def test_a_change_of_the_operator_at_each_point(tmp_path, point, kept):
-    """Power goes at the point: the change is there or not, and the same call again is acknowledged."""
+def test_a_configuration_change_at_each_point(tmp_path, point, kept):
+    """The process loses power at the point: the change is kept or not, and a retry is acknowledged."""
     plane = OneControlPlane(tmp_path)
 
-    def power_goes():
+    def lose_power():
         raise PowerLoss
 
-    faults.arm(point, power_goes)
+    faults.arm(point, lose_power)
     status, _ = plane.put(BODY, 0)
-    assert status >= 500, "nothing is acknowledged"
+    assert status >= 500, "the change is not acknowledged"
     faults.disarm()
     plane.lose_power()
     status, body = plane.call("GET", "/api/config")
@@ -120,7 +125,7 @@
     plane.close()
 
 
-def test_every_point_is_struck_by_a_test_of_this_file():
-    struck = {*REQUEST_POINTS, FaultPoint.BEFORE_COMMIT, FaultPoint.AFTER_COMMIT}
-    struck |= {FaultPoint.BEFORE_PROPOSAL, FaultPoint.BEFORE_ACKNOWLEDGEMENT}
-    assert struck == set(FaultPoint)
+def test_every_point_is_triggered_by_a_test_of_this_file():
+    triggered = {*REQUEST_POINTS, FaultPoint.BEFORE_COMMIT, FaultPoint.AFTER_COMMIT}
+    triggered |= {FaultPoint.BEFORE_PROPOSAL, FaultPoint.BEFORE_ACKNOWLEDGEMENT}
+    assert triggered == set(FaultPoint)
--- a/tests/system/test_feed_history.py
+++ b/tests/system/test_feed_history.py
@@ -1,9 +1,8 @@
-"""What a group keeps of its changes for followers of the feed: bounded in number and in bytes.
+"""The change history that a group keeps for followers of the feed is bounded in number and in bytes.
 
-What users would see: after a few hundred changes of a large configuration all control-plane processes end at
-their limit of memory, one after the other and again.  The cause: each change of the configuration is kept
-whole for followers that are behind, 256 of them, whatever their size: 256 MB for one of 1 MB, on machines of
-296 MB.
+Without the bound in bytes, all control-plane processes reach their memory limit after a few hundred changes
+of a large configuration, again and again: each change is kept in full for followers that are behind, so 256
+changes of 1 MB take 256 MB on machines of 296 MB.
 """
 
 import json
@@ -14,14 +13,14 @@
 
 from molespur.system.shards.history import MOST_BYTES, MOST_CHANGES, ChangeHistory
 
-MEMORY_BYTES = 12 << 20  # what a control-plane process may take for its history, log and all
+MAX_MEMORY_BYTES = 12 << 20  # for the history, the log and everything else that the changes allocate
 
-LONG = "p" * 900
+LONG_PATH = "p" * 900
 
 
 def configuration(version, routes):
     made = [
-        {"Name": f"r{n}", "Host": "h.example", "PathPrefix": f"/{n}/{LONG}/", "Type": "idempotent",
+        {"Name": f"r{n}", "Host": "h.example", "PathPrefix": f"/{n}/{LONG_PATH}/", "Type": "idempotent",
          "Service": "s", "TimeoutMs": 1000 + version}
         for n in range(routes)
     ]  # fmt: skip
@@ -35,7 +34,7 @@
     made.close()
 
 
-def test_hundreds_of_changes_of_a_large_configuration_are_not_all_kept(plane):
+def test_many_changes_of_a_large_configuration_do_not_fill_the_memory(plane):
     plane.host.on_change = lambda *_change: None
     tracemalloc.start()
     try:
@@ -43,13 +42,13 @@
             status, _ = plane.put(configuration(version, 300), version - 1)
             plane.pass_time(50.0)
             assert status == 200
-        used, _most = tracemalloc.get_traced_memory()
+        used_bytes, _peak_bytes = tracemalloc.get_traced_memory()
     finally:
         tracemalloc.stop()
-    assert used < MEMORY_BYTES, f"{used >> 20} MB"
+    assert used_bytes < MAX_MEMORY_BYTES, f"{used_bytes >> 20} MB"
 
 
-def test_a_follower_gets_what_it_lacks_or_is_told_that_it_is_not_kept():
+def test_the_history_returns_the_changes_after_an_index_or_none_if_they_are_not_kept():
     history = ChangeHistory()
     history.restart(10)
     for index in range(11, 15):
@@ -59,17 +58,17 @@
     assert history.after(9) is None
 
 
-def test_the_oldest_changes_give_way_by_number_and_by_bytes():
+def test_the_oldest_changes_are_dropped_by_number_and_by_bytes():
     history = ChangeHistory()
     for index in range(1, MOST_CHANGES + 3):
         history.append(index, b"x")
     assert history.after(1) is None and len(list(history.after(2))) == MOST_CHANGES
     history.append(1000, b"x" * MOST_BYTES)
     assert [index for index, _ in history.after(999)] == [1000]
-    assert history.after(MOST_CHANGES + 1) is None, "one that is larger than the bound stands alone"
+    assert history.after(MOST_CHANGES + 1) is None, "a change above the bound is kept alone"
 
 
-def test_nothing_of_before_a_snapshot_is_kept():
+def test_changes_before_a_snapshot_are_dropped():
     history = ChangeHistory()
     history.append(1, b"x")
     history.restart(5)
--- a/tests/system/test_freshness_budget.py
+++ b/tests/system/test_freshness_budget.py
@@ -1,28 +1,28 @@
-"""The promise of propagation is split over its hops with margin, for any length of the promise."""
+"""The propagation bound is split over its steps with a margin, for any length of the bound."""
 
 import pytest
 
 from molespur.system.consensus.timing import ELECTION_MS
 from molespur.system.feed.budget import NORMAL_AGE_MS, FreshnessBudget
 
-WORST_ASKED_MS = 1600.0  # for the promise of 2,000 ms that the deployments of today make
+WORST_CASE_MS = 1600.0  # for a bound of 2,000 ms, as in the deployments
 MARGIN_SHARE = 0.25
 
 
-def test_the_hops_add_up_to_less_than_the_promise():
+def test_the_steps_take_less_than_the_bound_with_a_margin():
     budget = FreshnessBudget(2000.0)
-    assert budget.worst_case_ms <= WORST_ASKED_MS
+    assert budget.worst_case_ms <= WORST_CASE_MS
     assert budget.worst_case_ms <= (1.0 - MARGIN_SHARE) * budget.bound_ms
 
 
-@pytest.mark.parametrize("promise", [500.0, 1000.0, 2000.0, 17_000.0])
-def test_a_source_in_order_is_never_left_and_nothing_is_refused_out_of_older_state_than_promised(promise):
-    budget = FreshnessBudget(promise)
+@pytest.mark.parametrize("bound", [500.0, 1000.0, 2000.0, 17_000.0])
+def test_a_healthy_source_is_kept_and_refusals_need_state_younger_than_the_bound(bound):
+    budget = FreshnessBudget(bound)
     assert budget.leave_age_ms > NORMAL_AGE_MS
-    assert budget.max_refusal_age_ms < promise
+    assert budget.max_refusal_age_ms < bound
 
 
-def test_an_election_fits_into_the_promise_of_today():
-    """While nobody leads nothing is acknowledged: state grows old by it, but not wrong."""
+def test_an_election_is_shorter_than_the_refusal_age():
+    """Without a leader nothing is acknowledged: the state ages, but does not become wrong."""
     budget = FreshnessBudget(2000.0)
     assert ELECTION_MS[1] < budget.max_refusal_age_ms
--- a/tests/system/test_old_configuration.py
+++ b/tests/system/test_old_configuration.py
@@ -1,4 +1,4 @@
-"""What a scheduler refuses, and what not, while its configuration may be older than the promise allows."""
+"""What a scheduler refuses while its configuration may be older than the propagation bound."""
 
 import json
 
@@ -9,7 +9,7 @@
 from molespur.system.shards.placement import CONFIGURATION
 
 LONG_BODY = b"x" * 5000
-LONGEST_WAIT_S = 0.8
+MAX_WAIT_S = 0.8
 
 
 def configuration(version, prefix):
@@ -21,9 +21,9 @@
     return json.dumps(made).encode()
 
 
-def ask(freshness, sent, newer=None):
-    """(status, head) of one request; `newer`: the configuration that comes while the request waits."""
-    told = []
+def send_request(freshness, sent, newer=None):
+    """(status, head) of one response; `newer`: the configuration that arrives while the request waits."""
+    received = []
 
     async def scenario():
         worker = ScriptedWorker("w", answer)
@@ -34,10 +34,10 @@
                 freshness.comes = lambda: ingress.state.update(CONFIGURATION, False, state)
             client = await Client.connect(port)
             await client.send(sent)
-            told.extend((await client.response())[:2])
+            received.extend((await client.response())[:2])
 
     run(scenario())
-    return told
+    return received
 
 
 REFUSED = {
@@ -47,33 +47,33 @@
 
 
 @pytest.mark.parametrize("what", REFUSED)
-def test_a_fresh_configuration_refuses_for_good(what):
+def test_a_fresh_configuration_refuses_permanently(what):
     sent, refusal = REFUSED[what]
-    assert ask(Freshness(), sent)[0] == refusal
+    assert send_request(Freshness(), sent)[0] == refusal
 
 
 @pytest.mark.parametrize("what", REFUSED)
-def test_an_old_one_refuses_nothing_for_good(what):
-    """A change that it has missed may have added the route, or raised the limit."""
+def test_an_old_configuration_refuses_nothing_permanently(what):
+    """A change that has not arrived may have added the route or raised the limit."""
     sent, _refusal = REFUSED[what]
-    status, head = ask(Freshness(fresh=False), sent)
+    status, head = send_request(Freshness(fresh=False), sent)
     assert status == 503 and float(header(head, b"Retry-After")) > 0
 
 
-def test_a_request_waits_for_the_state_that_knows_its_route():
+def test_a_request_without_a_route_waits_for_a_fresh_configuration():
     freshness = Freshness(fresh=False)
-    status, _head = ask(freshness, request(path=b"/new/x"), newer=configuration(9, "/new/"))
+    status, _head = send_request(freshness, request(path=b"/new/x"), newer=configuration(9, "/new/"))
     assert status == 200 and len(freshness.waited_s) == 1
-    assert 0.0 < freshness.waited_s[0] <= LONGEST_WAIT_S, "within the client's patience"
+    assert 0.0 < freshness.waited_s[0] <= MAX_WAIT_S, "within the time that a client waits"
 
 
-def test_a_route_that_the_fresh_state_lacks_too_is_refused_for_good():
+def test_a_route_that_the_fresh_configuration_lacks_is_refused_permanently():
     freshness = Freshness(fresh=False)
-    status, _head = ask(freshness, request(path=b"/none/"), newer=configuration(9, "/new/"))
+    status, _head = send_request(freshness, request(path=b"/none/"), newer=configuration(9, "/new/"))
     assert status == 404
 
 
-def test_what_is_known_is_served_on_without_a_wait():
+def test_a_known_route_is_served_without_waiting():
     freshness = Freshness(fresh=False)
-    assert ask(freshness, request())[0] == 200
+    assert send_request(freshness, request())[0] == 200
     assert freshness.waited_s == []
--- a/tests/system/test_orders.py
+++ b/tests/system/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to workers: who may give them, and by which fence."""
+"""Orders to workers: which process may send them, and with which fencing token and revision."""
 
 import asyncio
 import json
@@ -17,8 +17,8 @@
 GROUP = group_of_service(SERVICE)
 
 
-class Busy:
-    """Stands for the schedulers: much to be read."""
+class BusySchedulers:
+    """Stands in for the scheduler monitor; reports a high prefill load."""
 
     def load(self, _now, service):
         return pb.ServiceLoad(service=service, read_tokens_per_s=200_000.0, running=10.0)
@@ -26,7 +26,7 @@
 
 @asynccontextmanager
 async def order_taker(status=b"202 Accepted"):
-    """A worker's address that answers every order alike; gives its address and the orders."""
+    """A worker that responds to every order with one status; yields its address and the received orders."""
     orders = []
 
     async def serve(reader, writer):
@@ -52,7 +52,7 @@
 
 
 def orders_of(plane):
-    made = PhaseOrders(plane.host.settings, plane.host, plane.calls, Busy(), lambda: plane.now)
+    made = PhaseOrders(plane.host.settings, plane.host, plane.calls, BusySchedulers(), lambda: plane.now)
     made.became_owner(GROUP)
     return made
 
@@ -74,18 +74,18 @@
         plane.pass_time(300.0)
 
 
-def test_an_order_has_the_fence_of_the_time_when_the_lead_was_certain(plane):
+def test_an_order_carries_the_term_in_which_leadership_was_certain(plane):
     async def scenario():
         async with order_taker() as (address, taken):
             register(plane, address)
             orders = orders_of(plane)
             plane.pass_time(plane.host.settings.bounds.lease_ms + HANDOVER_MS + 100.0)
-            led = plane.host.groups[GROUP].replica.hard_state.term
+            own_term = plane.host.groups[GROUP].replica.hard_state.term
             look_until_ordered(plane, orders)
-            plane.host.groups[GROUP].replica.hard_state.term += 3  # another owner's term is heard of
+            plane.host.groups[GROUP].replica.hard_state.term += 3  # the term of another owner arrives
             while not taken:
                 await asyncio.sleep(0)
-            assert {order["FencingToken"] for order in taken} == {led}
+            assert {order["FencingToken"] for order in taken} == {own_term}
             for task in orders._tasks:
                 task.cancel()
 
@@ -109,7 +109,7 @@
     plane.loop.run_until_complete(scenario())
 
 
-def test_a_worker_that_has_seen_a_higher_fence_gets_no_order_with_the_same_one_again(plane):
+def test_a_worker_that_has_seen_a_higher_token_gets_no_more_orders_with_the_refused_one(plane):
     async def scenario():
         async with order_taker(b"412 Precondition Failed") as (address, taken):
             register(plane, address)
@@ -121,20 +121,20 @@
                 if orders._tasks:
                     await asyncio.gather(*orders._tasks)
             assert len(orders.refused_tokens) > 1
-            assert len(taken) == len(orders.refused_tokens), "each worker was asked once with this fence"
+            assert len(taken) == len(orders.refused_tokens), "one order to each worker with this token"
 
     plane.loop.run_until_complete(scenario())
 
 
-# -- The number of orders that a worker has taken ---------------------------------------------------------
+# -- The number of orders that a worker has accepted ---------------------------------------------------------
 
 
 class CountingWorker:
-    """A worker's address that counts the orders it takes and reports them."""
+    """A worker that counts the orders that it accepts and reports the number."""
 
     def __init__(self):
         self.phase, self.sequence, self.orders, self.statuses = "decode", 4, [], []
-        self.reports, self.under_way = 0, False
+        self.reports, self.order_in_progress = 0, False
         self.on_report = lambda: None
 
     @asynccontextmanager
@@ -159,7 +159,7 @@
     def _report(self):
         self.reports += 1
         self.on_report()
-        report = {"Phase": self.phase, "Utilization": self.under_way, "Sequence": self.sequence}
+        report = {"Phase": self.phase, "Utilization": self.order_in_progress, "Sequence": self.sequence}
         return json.dumps(report).encode()
 
     def _order(self, order):
@@ -172,8 +172,8 @@
         return b"202 Accepted"
 
 
-def give(plane, scenario, monkeypatch):
-    """Run a scenario(worker, give) in which `give(phase)` carries one order out to its end."""
+def run_with_worker(plane, scenario, monkeypatch):
+    """Run scenario(worker, orders, execute_order); `execute_order(phase)` completes one order."""
     monkeypatch.setattr("molespur.system.control_plane.orders.DEFAULT_SWITCH_S", 0.0)
     monkeypatch.setattr("molespur.system.control_plane.orders.REPORT_POLL_S", 0.0)
 
@@ -183,70 +183,70 @@
             orders = orders_of(plane)
             record = pb.Worker(id="w-0", service=SERVICE, address=address, phase="decode", capacity=64)
 
-            async def give_order(phase):
+            async def execute_order(phase):
                 await orders._execute(GROUP, PhaseOrder(record, phase), 7)
 
-            await scenario(worker, orders, give_order)
+            await scenario(worker, orders, execute_order)
 
     plane.loop.run_until_complete(asyncio.wait_for(run(), 20))
 
 
-def test_an_order_names_how_many_the_worker_has_taken_once_it_has_told(plane, monkeypatch):
-    async def scenario(worker, _orders, give_order):
+def test_an_order_carries_the_revision_that_the_worker_has_reported(plane, monkeypatch):
+    async def scenario(worker, _orders, execute_order):
         for phase in ("prefill", "decode", "prefill"):
-            await give_order(phase)
+            await execute_order(phase)
         assert [order.get("IfRevision") for order in worker.orders] == [None, 5, 6]
         assert worker.statuses == [202, 202, 202]
 
-    give(plane, scenario, monkeypatch)
+    run_with_worker(plane, scenario, monkeypatch)
 
 
-def test_an_order_of_somebody_else_in_between_is_noticed_and_nothing_is_overturned(plane, monkeypatch):
-    async def scenario(worker, orders, give_order):
-        await give_order("prefill")
-        worker.sequence, worker.phase = 9, "decode"  # another holder has ordered it since
+def test_an_order_after_another_holders_order_is_refused_and_not_repeated_blindly(plane, monkeypatch):
+    async def scenario(worker, orders, execute_order):
+        await execute_order("prefill")
+        worker.sequence, worker.phase = 9, "decode"  # another holder has sent it an order
         reports = worker.reports
-        await give_order("prefill")
+        await execute_order("prefill")
         assert worker.statuses == [202, 409] and worker.phase == "decode"
-        assert worker.reports == reports + 1, "it is asked what it does"
+        assert worker.reports == reports + 1, "its state is read after the refusal"
         assert orders.outcomes["prefill", "409"] == 1
-        await give_order("prefill")
+        await execute_order("prefill")
         assert worker.orders[-1]["IfRevision"] == 9 and worker.statuses[-1] == 202
 
-    give(plane, scenario, monkeypatch)
+    run_with_worker(plane, scenario, monkeypatch)
 
 
-def test_an_order_under_way_or_a_new_owner_leaves_the_number_unknown(plane, monkeypatch):
-    async def scenario(worker, orders, give_order):
-        worker.under_way = True  # at every report
-        await give_order("prefill")
-        await give_order("decode")
+def test_the_revision_is_unknown_during_an_order_and_after_a_change_of_owner(plane, monkeypatch):
+    async def scenario(worker, orders, execute_order):
+        worker.order_in_progress = True  # at every report
+        await execute_order("prefill")
+        await execute_order("decode")
         assert [order.get("IfRevision") for order in worker.orders] == [None, None]
-        worker.under_way = False
-        await give_order("prefill")
+        worker.order_in_progress = False
+        await execute_order("prefill")
         orders.became_owner(GROUP)
-        await give_order("decode")
+        await execute_order("decode")
         assert [order.get("IfRevision") for order in worker.orders[2:]] == [None, None]
 
-    give(plane, scenario, monkeypatch)
+    run_with_worker(plane, scenario, monkeypatch)
 
 
-def test_an_order_without_an_answer_leaves_the_number_unknown(plane, monkeypatch):
-    """The worker may have taken it, or not."""
+def test_the_revision_is_unknown_after_an_order_without_a_response(plane, monkeypatch):
+    """The worker may or may not have accepted it."""
 
-    async def scenario(worker, orders, give_order):
-        await give_order("prefill")
+    async def scenario(worker, orders, execute_order):
+        await execute_order("prefill")
         assert orders.revisions.expected("w-0") == 5
         monkeypatch.setattr(worker, "_order", lambda order: worker.orders.append(order) or (b"", b""))
         monkeypatch.setattr("molespur.system.control_plane.orders.ORDER_TIMEOUT_S", 0.0)
-        await give_order("decode")
+        await execute_order("decode")
         assert orders.revisions.expected("w-0") is None
 
-    give(plane, scenario, monkeypatch)
+    run_with_worker(plane, scenario, monkeypatch)
 
 
-def test_a_process_that_leads_without_contact_does_not_say_that_it_leads(plane):
-    """It was held up, and is asked before it has looked at the time."""
+def test_a_leader_without_contact_to_a_majority_does_not_confirm_its_leadership(plane):
+    """It was stalled, and receives the call before its timers run."""
 
     class Pipe:
         sent = []
