--- a/tests/system/control.py
+++ b/tests/system/control.py
@@ -1,4 +1,4 @@
-"""A control plane of one process in a test: a clock that the test moves, writes that are done at once."""
+"""A control plane of a single process for tests, with a manual clock and synchronous disk writes."""
 
 import asyncio
 from collections import Counter
@@ -26,11 +26,11 @@
 
 
 class PowerLoss(Exception):
-    """The process ends here."""
+    """Simulates a loss of power at the place where it is raised."""
 
 
 class InlineWriter:
-    """Writes to the disk in the caller's turn."""
+    """Writes to the disk synchronously."""
 
     def __init__(self, host):
         self.host = host
@@ -44,7 +44,7 @@
 
 
 class OneControlPlane:
-    """The only process of a control plane, on a folder that outlives it."""
+    """The only process of a control plane; its folder survives restarts."""
 
     def __init__(self, folder):
         self.folder, self.now, self.bootstrap = folder, 0.0, True
@@ -70,8 +70,8 @@
         )
         self.host.on_role = lambda group: self.host.leads(group) and self.calls.became_owner(group)
         self.client = create_app(self.calls, self.metrics).test_client()
-        self.told = []
-        self.host.on_change = lambda group, index, payload: self.told.append((group, index, payload))
+        self.changes = []  # (group, index, payload) of all changes since the start
+        self.host.on_change = lambda group, index, payload: self.changes.append((group, index, payload))
         self.pass_time(3000.0)
 
     def metrics(self):
@@ -79,45 +79,44 @@
         return metrics(self.host, self.feed_source(), SchedulerMonitor(), orders, 3, self.now)
 
     def feed_source(self):
-        """The feed of this process."""
+        """A feed source on this process."""
         return FeedSource(self.host, lambda: self.now, self.calls.read_barrier)
 
     def subscribe(self, source, channel, request):
-        """Take a follower in, and let what it waits for be confirmed."""
-
+        """Add a follower, and let its pending groups be confirmed."""
         self._in_loop(lambda: source.subscribe(channel, request))
 
-    def look(self, source):
-        """Let the feed look for followers that wait."""
+    def start_pending_groups(self, source):
+        """Start the groups that could not be started for followers before."""
         self._in_loop(source.start_pending_groups)
 
-    def _in_loop(self, call):
+    def _in_loop(self, function):
         async def called():
-            call()
+            function()
             for _ in range(5):
                 await asyncio.sleep(0)
 
         self.loop.run_until_complete(called())
 
     def pass_time(self, ms):
-        """Let the clock run on."""
+        """Advance the clock in steps of 50 ms."""
         until = self.now + ms
         while self.now < until:
             self.now += 50.0
             self.host.step()
 
     def lose_power(self):
-        """The process ends without a word; its disk stays."""
+        """End the process abruptly and restart it on its disk."""
         self.host.store.close()
         self.bootstrap = False
         self.start()
 
     def call(self, method, path, body=b"", **headers):
-        """(status, body) of one HTTP call."""
+        """Make one HTTP call; return (status, body)."""
 
         async def made():
-            named = {key.replace("_", "-"): value for key, value in headers.items()}
-            response = await self.client.open(path, method=method, data=body, headers=named)
+            fields = {key.replace("_", "-"): value for key, value in headers.items()}
+            response = await self.client.open(path, method=method, data=body, headers=fields)
             return response.status_code, await response.get_data()
 
         return self.loop.run_until_complete(made())
@@ -125,8 +124,8 @@
     def put(self, body, base):
         return self.call("PUT", "/api/config", body, If_Match=str(base))
 
-    def silence(self):
-        """Look for workers that have fallen silent."""
+    def check_heartbeats(self):
+        """Check for workers with missing heartbeats."""
         self.loop.run_until_complete(self.calls.check_heartbeats())
 
     def close(self):
--- a/tests/system/features/environment.py
+++ b/tests/system/features/environment.py
@@ -1,4 +1,4 @@
-"""behave: each scenario has a control plane of its own, on a folder that is removed afterwards."""
+"""behave hooks: each scenario runs on its own control plane, in a temporary folder."""
 
 import sys
 import tempfile
--- a/tests/system/features/steps/control_steps.py
+++ b/tests/system/features/steps/control_steps.py
@@ -1,4 +1,4 @@
-"""Steps of an operator and of workers."""
+"""Steps for the operator and for workers."""
 
 import json
 
@@ -7,104 +7,104 @@
 from molespur.system.rpc import molespur_pb2 as pb
 from molespur.system.shards.placement import CONFIGURATION, WORKER_GROUPS
 
-STATES = {pb.READY: "ready", pb.DRAINING: "draining", pb.SILENT: "silent"}
+STATE_NAMES = {pb.READY: "ready", pb.DRAINING: "draining", pb.SILENT: "silent"}
 
 
 def body(version, timeout=800, **route):
-    made = {"Name": "r", "Host": "h", "PathPrefix": "/p/", "TimeoutMs": timeout, "Service": "s", **route}
-    return {"Version": version, "Routes": [made], "Services": [{"Name": "s"}]}
+    fields = {"Name": "r", "Host": "h", "PathPrefix": "/p/", "TimeoutMs": timeout, "Service": "s", **route}
+    return {"Version": version, "Routes": [fields], "Services": [{"Name": "s"}]}
 
 
-def put(context, configuration, base):
+def put_configuration(context, configuration, base):
     data = configuration if isinstance(configuration, bytes) else json.dumps(configuration).encode()
-    context.answer = context.plane.put(data, base)
+    context.response = context.plane.put(data, base)
 
 
-def read(context):
+def read_configuration(context):
     status, data = context.plane.call("GET", "/api/config")
     assert status == 200, status
     return json.loads(data)
 
 
 @given("version {version:d} is in force")
-def in_force(context, version):
-    put(context, body(version), 0)
-    assert context.answer[0] == 200
+def put_initial_version(context, version):
+    put_configuration(context, body(version), 0)
+    assert context.response[0] == 200
 
 
-@when("the operator puts version {version:d} on top of {base:d}")
-def puts(context, version, base):
-    put(context, body(version), base)
+@when("the operator puts version {version:d} based on version {base:d}")
+def put_version(context, version, base):
+    put_configuration(context, body(version), base)
 
 
-@when("the operator puts version {version:d} on top of {base:d} with time-out {timeout:d}")
-def puts_timeout(context, version, base, timeout):
-    put(context, body(version, timeout), base)
+@when("the operator puts version {version:d} based on version {base:d} with a timeout of {timeout:d} ms")
+def put_version_with_timeout(context, version, base, timeout):
+    put_configuration(context, body(version, timeout), base)
 
 
 FAULTS = {
-    "a cut body": json.dumps(body(7)).encode()[:-9],
+    "a truncated body": json.dumps(body(7)).encode()[:-9],
     "an unknown service": body(7, Service="t"),
-    "two routes alike": {**body(7), "Routes": body(7)["Routes"] * 2},
+    "two identical routes": {**body(7), "Routes": body(7)["Routes"] * 2},
     "no weight": body(7, TrafficSplit=[{"Service": "s", "Weight": 0}]),
-    "no time-out": body(7, 0),
+    "no timeout": body(7, 0),
     "an old version": body(1, 300),
 }
 
 
 @when("the operator puts a configuration with {fault}")
-def puts_fault(context, fault):
-    put(context, FAULTS[fault], 1)
+def put_faulty(context, fault):
+    put_configuration(context, FAULTS[fault], 1)
 
 
 @when("the operator reads the configuration")
-def reads(context):
-    context.answer = context.plane.call("GET", "/api/config")
+def request_configuration(context):
+    context.response = context.plane.call("GET", "/api/config")
 
 
 @when("the control plane loses power")
-def loses_power(context):
+def lose_power(context):
     context.plane.lose_power()
 
 
 @when("{count:d} changes follow one another")
-def changes(context, count):
+def put_many(context, count):
     for version in range(2, count + 2):
-        put(context, body(version), version - 1)
+        put_configuration(context, body(version), version - 1)
         context.plane.pass_time(50.0)
-        assert context.answer[0] == 200
+        assert context.response[0] == 200
 
 
-@then("the answer is {status:d}")
-def answered(context, status):
-    assert context.answer[0] == status, context.answer
+@then("the response status is {status:d}")
+def check_status(context, status):
+    assert context.response[0] == status, context.response
 
 
-@then("the answer is {status:d} and names {field}")
-def answered_naming(context, status, field):
-    assert context.answer[0] == status, context.answer
-    named = "10.0.0.1:80" if field == "the owner" else field
-    assert named in context.answer[1].decode(), context.answer
+@then("the response status is {status:d} and the body names {field}")
+def check_status_and_body(context, status, field):
+    assert context.response[0] == status, context.response
+    expected = "10.0.0.1:80" if field == "the owner" else field
+    assert expected in context.response[1].decode(), context.response
 
 
-@then("the configuration read back is version {version:d}")
-def read_back(context, version):
-    assert read(context)["Version"] == version
+@then("the configuration read back has version {version:d}")
+def check_version(context, version):
+    assert read_configuration(context)["Version"] == version
 
 
-@then("the configuration read back has time-out {timeout:d}")
-def read_back_timeout(context, timeout):
-    assert read(context)["Routes"][0]["TimeoutMs"] == timeout
+@then("the configuration read back has a timeout of {timeout:d} ms")
+def check_timeout(context, timeout):
+    assert read_configuration(context)["Routes"][0]["TimeoutMs"] == timeout
 
 
 @then("the log holds fewer than {count:d} entries")
-def log_holds(context, count):
+def check_log_size(context, count):
     assert len(context.plane.host.store.load(CONFIGURATION).entries) < count
 
 
-def beat(context, worker, sequence=1, address=None, state="ready"):
+def send_heartbeat(context, worker, sequence=1, address=None, state="ready"):
     number = worker.rpartition("-")[2]
-    told = {
+    heartbeat = {
         "Service": "s",
         "Address": address or f"10.128.0.{number}:8080",
         "Zone": "a",
@@ -113,71 +113,71 @@
         "State": state,
         "Sequence": sequence,
     }
-    context.answer = context.plane.call("PUT", f"/api/instances/{worker}", json.dumps(told).encode())
+    context.response = context.plane.call("PUT", f"/api/instances/{worker}", json.dumps(heartbeat).encode())
 
 
-def known(context, worker):
+def known_state(context, worker):
     for group in WORKER_GROUPS:
-        found = context.plane.host.groups[group].machine.workers.get(worker)
-        if found is not None:
-            return STATES[found.state]
+        record = context.plane.host.groups[group].machine.workers.get(worker)
+        if record is not None:
+            return STATE_NAMES[record.state]
     return "unknown"
 
 
 @given("worker {worker} is registered")
-def registered(context, worker):
-    beat(context, worker)
-    assert context.answer[0] == 200
+def register_worker(context, worker):
+    send_heartbeat(context, worker)
+    assert context.response[0] == 200
 
 
 @when("worker {worker} sends a heartbeat with sequence {sequence:d}")
-def sends(context, worker, sequence):
-    beat(context, worker, sequence)
+def send_with_sequence(context, worker, sequence):
+    send_heartbeat(context, worker, sequence)
 
 
-@when("worker {worker} says that it is draining")
-def drains(context, worker):
-    beat(context, worker, 2, state="draining")
+@when("worker {worker} sends a heartbeat with state draining")
+def send_draining(context, worker):
+    send_heartbeat(context, worker, 2, state="draining")
 
 
-@when("worker {worker} says goodbye")
-def leaves(context, worker):
-    context.answer = context.plane.call("DELETE", f"/api/instances/{worker}")
-    assert context.answer[0] == 200
+@when("worker {worker} deregisters")
+def deregister(context, worker):
+    context.response = context.plane.call("DELETE", f"/api/instances/{worker}")
+    assert context.response[0] == 200
 
 
 @when("worker {worker} registers at the address of worker {other}")
-def takes_address(context, worker, other):
-    beat(context, worker, address=f"10.128.0.{other.rpartition('-')[2]}:8080")
+def register_at_address(context, worker, other):
+    send_heartbeat(context, worker, address=f"10.128.0.{other.rpartition('-')[2]}:8080")
 
 
 @when("{seconds:d} seconds pass with heartbeats of worker {worker} only")
-def pass_with(context, seconds, worker):
+def pass_time_with_heartbeats(context, seconds, worker):
     for _ in range(2 * seconds):
         context.plane.pass_time(500.0)
         context.sequence = getattr(context, "sequence", 1) + 1
-        beat(context, worker, context.sequence)
-        context.plane.silence()
+        send_heartbeat(context, worker, context.sequence)
+        context.plane.check_heartbeats()
 
 
 HEARTBEAT_FAULTS = {
-    "no JSON": b"{",
+    "invalid JSON": b"{",
     "no service": b'{"Address":"10.128.0.1:80","Zone":"a","State":"ready"}',
-    "a false state": b'{"Service":"s","Address":"10.128.0.1:80","Zone":"a","State":"tired"}',
+    "an unknown state": b'{"Service":"s","Address":"10.128.0.1:80","Zone":"a","State":"tired"}',
 }
 
 
-@when("a heartbeat with {fault} comes")
-def faulty(context, fault):
-    context.answer = context.plane.call("PUT", "/api/instances/i-1", HEARTBEAT_FAULTS[fault])
+@when("a heartbeat with {fault} arrives")
+def send_faulty(context, fault):
+    context.response = context.plane.call("PUT", "/api/instances/i-1", HEARTBEAT_FAULTS[fault])
 
 
 @then("worker {worker} is {state}")
-def is_state(context, worker, state):
-    assert known(context, worker) == state, known(context, worker)
+def check_state(context, worker, state):
+    assert known_state(context, worker) == state, known_state(context, worker)
 
 
-@then("{count:d} change was told")
-@then("{count:d} changes were told")
-def told(context, count):
-    assert len([t for t in context.plane.told if t[0] in WORKER_GROUPS]) == count, context.plane.told
+@then("{count:d} change was published")
+@then("{count:d} changes were published")
+def check_change_count(context, count):
+    assert len([c for c in context.plane.changes if c[0] in WORKER_GROUPS]) == count, context.plane.changes
--- a/tests/system/features/workers.feature
+++ b/tests/system/features/workers.feature
@@ -1,28 +1,28 @@
-Feature: Workers that register, leave and fall silent
-  The control plane knows its workers by their heartbeats alone, and tells every change once.
+Feature: Worker registrations and heartbeats
+  The control plane knows its workers from their heartbeats only, and publishes each change once.
 
-  Scenario: A worker registers and its later heartbeats change nothing
+  Scenario: Heartbeats after the registration change nothing
     When worker i-1 sends a heartbeat with sequence 1
-    Then the answer is 200 and names the owner
+    Then the response status is 200 and the body names the owner
     And worker i-1 is ready
     When worker i-1 sends a heartbeat with sequence 2
-    Then 1 change was told
+    Then 1 change was published
 
-  Scenario: A worker that leaves is told to all before it is acknowledged
+  Scenario: A draining worker is published before its heartbeat is acknowledged
     Given worker i-1 is registered
-    When worker i-1 says that it is draining
-    Then the answer is 200 and names the owner
+    When worker i-1 sends a heartbeat with state draining
+    Then the response status is 200 and the body names the owner
     And worker i-1 is draining
-    And 2 changes were told
+    And 2 changes were published
 
-  Scenario: A late heartbeat does not bring back a worker that has gone
+  Scenario: A late heartbeat does not restore a deregistered worker
     Given worker i-1 is registered
-    When worker i-1 says goodbye
+    When worker i-1 deregisters
     And worker i-1 sends a heartbeat with sequence 9
-    Then the answer is 200 and names the owner
+    Then the response status is 200 and the body names the owner
     And worker i-1 is unknown
 
-  Scenario: A worker that falls silent is kept in doubt, then dropped
+  Scenario: A worker without heartbeats becomes silent and is later removed
     Given worker i-1 is registered
     And worker i-2 is registered
     When 4 seconds pass with heartbeats of worker i-2 only
@@ -30,23 +30,23 @@
     When 32 seconds pass with heartbeats of worker i-2 only
     Then worker i-1 is unknown
 
-  Scenario: An address that passes to another worker ends the earlier one
+  Scenario: A worker at the address of another one replaces it
     Given worker i-1 is registered
     When worker i-9 registers at the address of worker i-1
     Then worker i-1 is unknown
     And worker i-9 is ready
 
-  Scenario: Workers are still known after a loss of power
+  Scenario: Registered workers survive a power loss
     Given worker i-1 is registered
     When the control plane loses power
     Then worker i-1 is ready
 
-  Scenario Outline: A heartbeat that can't be read is refused
-    When a heartbeat with <fault> comes
-    Then the answer is 400
+  Scenario Outline: An unreadable heartbeat is refused
+    When a heartbeat with <fault> arrives
+    Then the response status is 400
 
     Examples:
-      | fault         |
-      | no JSON       |
-      | no service    |
-      | a false state |
+      | fault            |
+      | invalid JSON     |
+      | no service       |
+      | an unknown state |
--- a/tests/system/registrations.py
+++ b/tests/system/registrations.py
@@ -1,4 +1,4 @@
-"""Records of workers for tests."""
+"""Worker records for tests."""
 
 from molespur.system.rpc import molespur_pb2 as pb
 
--- a/tests/system/test_feed.py
+++ b/tests/system/test_feed.py
@@ -1,4 +1,4 @@
-"""The feed, both ends: what a follower is sent, what it takes, and when it turns to another source."""
+"""Both sides of the feed: what a follower is sent, what it accepts, when it changes its source."""
 
 from random import Random
 
@@ -14,8 +14,8 @@
 BODY = b'{"Version":%d,"Routes":[],"Services":[]}'
 
 
-class Pipe:
-    """A channel that keeps what is sent."""
+class FakeChannel:
+    """A channel that records the frames that are sent."""
 
     def __init__(self):
         self.sent = []
@@ -40,76 +40,76 @@
     return source
 
 
-def following_from(index):
+def subscription_from(index):
     return pb.Subscribe(node="edge-1", offsets=[pb.Offset(group=CONFIGURATION, index=index)])
 
 
-def versions(pipe):
-    return [pb.ConfigurationState.FromString(update.payload).version for update in pipe.updates()]
+def versions(channel):
+    return [pb.ConfigurationState.FromString(update.payload).version for update in channel.updates()]
 
 
 def test_a_follower_gets_a_snapshot_then_each_change(plane):
     plane.put(BODY % 1, 0)
-    source, pipe = source_of(plane), Pipe()
-    plane.subscribe(source, pipe, pb.Subscribe(node="edge-1"))
-    assert [u.snapshot for u in pipe.updates()] == [True]
+    source, channel = source_of(plane), FakeChannel()
+    plane.subscribe(source, channel, pb.Subscribe(node="edge-1"))
+    assert [u.snapshot for u in channel.updates()] == [True]
     plane.put(BODY % 3, 1)
-    assert versions(pipe) == [1, 3] and not pipe.updates()[-1].snapshot
+    assert versions(channel) == [1, 3] and not channel.updates()[-1].snapshot
 
 
-def test_a_follower_that_was_away_gets_only_what_it_lacks(plane):
+def test_a_follower_that_resubscribes_gets_only_the_missing_changes(plane):
     source = source_of(plane)
     for version in (1, 2, 3):
         plane.put(BODY % version, version - 1)
-    first = Pipe()
+    first = FakeChannel()
     plane.subscribe(source, first, pb.Subscribe(node="edge-1"))
-    at = first.updates()[-1].index
+    offset = first.updates()[-1].index
     plane.put(BODY % 4, 3)
-    again = Pipe()
-    plane.subscribe(source, again, following_from(at))
+    again = FakeChannel()
+    plane.subscribe(source, again, subscription_from(offset))
     assert versions(again) == [4] and not again.updates()[0].snapshot
 
 
-def test_an_offset_that_is_too_old_means_a_snapshot(plane):
+def test_an_offset_that_is_no_longer_kept_leads_to_a_snapshot(plane):
     source = source_of(plane)
     for version in range(1, 300):
         plane.put(BODY % version, version - 1)
-    pipe = Pipe()
-    plane.subscribe(source, pipe, following_from(2))
-    assert versions(pipe) == [299] and pipe.updates()[0].snapshot
+    channel = FakeChannel()
+    plane.subscribe(source, channel, subscription_from(2))
+    assert versions(channel) == [299] and channel.updates()[0].snapshot
 
 
 def test_a_source_that_is_behind_its_follower_sends_nothing(plane):
     plane.put(BODY % 1, 0)
-    source, pipe = source_of(plane), Pipe()
+    source, channel = source_of(plane), FakeChannel()
     ahead = pb.Offset(group=CONFIGURATION, index=10_000)
-    plane.subscribe(source, pipe, pb.Subscribe(node="edge-1", offsets=[ahead]))
-    assert pipe.updates() == []
+    plane.subscribe(source, channel, pb.Subscribe(node="edge-1", offsets=[ahead]))
+    assert channel.updates() == []
 
 
-def test_a_source_that_has_lost_its_leader_starts_nobody(plane):
+def test_a_source_without_a_leader_starts_no_follower(plane):
     plane.put(BODY % 1, 0)
     plane.lose_power()
     plane.host.groups[CONFIGURATION].replica._follow("")
     plane.host.groups[CONFIGURATION].replica.leader_heard_at = plane.now - 60_000.0
-    source, pipe = source_of(plane), Pipe()
-    plane.subscribe(source, pipe, pb.Subscribe(node="edge-1"))
-    assert pipe.updates() == []
+    source, channel = source_of(plane), FakeChannel()
+    plane.subscribe(source, channel, pb.Subscribe(node="edge-1"))
+    assert channel.updates() == []
     plane.pass_time(3_000.0)
-    plane.look(source)
-    assert versions(pipe) == [1]
+    plane.start_pending_groups(source)
+    assert versions(channel) == [1]
 
 
-# -- The follower -----------------------------------------------------------------------------------
+# -- Follower --------------------------------------------------------------------------------------
 
 
 class FakeDialer:
-    """Stands for a dialer whose channel is open at once."""
+    """Stands in for a dialer whose channel is open at once."""
 
     made = []
 
     def __init__(self, address, on_frame, on_open=None, bind_ip=""):
-        self.address, self.on_frame, self.channel, self.stopped = address, on_frame, Pipe(), False
+        self.address, self.on_frame, self.channel, self.stopped = address, on_frame, FakeChannel(), False
         self.channel.label = address
         FakeDialer.made.append(self)
         if on_open is not None:
@@ -130,82 +130,82 @@
         "edge-1", "10.0.0.9", "a", (7000, 7010), ("10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80")
     )
     made = FeedFollower(
-        settings, lambda: made.now, Random(1), lambda *update: made.taken.append(update), lambda _: []
+        settings, lambda: made.now, Random(1), lambda *update: made.updates.append(update), lambda _: []
     )
-    made.now, made.taken = 0.0, []
+    made.now, made.updates = 0.0, []
     return made
 
 
-def frame_from(follower, frame, source=None):
+def deliver_frame(follower, frame, source=None):
     source = source or follower.source
     source.on_frame(source.channel, frame)
 
 
-def beat(zones=("a", "b", "c")):
+def source_heartbeat(zones=("a", "b", "c")):
     core = [pb.CoreNode(rpc_address=f"10.0.0.{n + 1}:7000", zone=zone) for n, zone in enumerate(zones)]
     return pb.Frame(feed_heartbeat=pb.FeedHeartbeat(schedulers=3, core=core))
 
 
-def answer_pings(follower, ages):
-    """Each process that is asked and named here answers with its age, as one that sent everything."""
+def reply_to_pings(follower, ages):
+    """Each pinged process in `ages` replies with its age, as one that has sent everything."""
     for dialer in [follower.source, *follower.monitors.values()]:
         pings = [f.ping.sent_at_ms for f in dialer.channel.sent if f.WhichOneof("body") == "ping"]
         if dialer.address in ages and pings:
             age = ages[dialer.address]
             pong = pb.Pong(sent_at_ms=pings[-1], state_age_ms=age, configuration_age_ms=age, follows=True)
-            frame_from(follower, pb.Frame(pong=pong), dialer)
+            deliver_frame(follower, pb.Frame(pong=pong), dialer)
 
 
-def watch(follower, ms, frame=None, ages=None):
+def run_steps(follower, ms, frame=None, ages=None):
     for _ in range(int(ms / 200)):
         follower.now += 200.0
         if frame is not None:
-            frame_from(follower, frame)
+            deliver_frame(follower, frame)
         follower.step(follower.now)
-        answer_pings(follower, ages or {})
+        reply_to_pings(follower, ages or {})
 
 
-def all_but(follower, address, other, own):
-    """Ages of all processes: `own` of one, `other` of the rest."""
-    return {a: own if a == address else other for a in follower.selector.zones}
+def ages_except(follower, address, others, own):
+    """The ages of all processes: `own` for one address, `others` for the rest."""
+    return {a: own if a == address else others for a in follower.selector.zones}
 
 
-def test_what_is_in_force_never_goes_back(follower):
+def test_offsets_never_decrease(follower):
     follower._check_source(0.0)
     for index, snapshot in ((9, True), (7, True), (9, False), (12, False)):
-        frame_from(
+        deliver_frame(
             follower,
             pb.Frame(update=pb.FeedUpdate(group="g", index=index, snapshot=snapshot, payload=b"%d" % index)),
         )
-    assert [payload for _, _, payload in follower.taken] == [b"9", b"12"]
+    assert [payload for _, _, payload in follower.updates] == [b"9", b"12"]
     assert follower.offsets == {"g": 12}
 
 
-def test_a_source_that_brings_nothing_is_left_however_much_it_says(follower):
+def test_a_source_without_confirmed_state_is_left_despite_its_heartbeats(follower):
     follower.step(0.0)
     first = follower.source
-    ages = all_but(follower, None, 100, 100)
-    watch(follower, 2000, beat(), ages)
+    ages = ages_except(follower, None, 100, 100)
+    run_steps(follower, 2000, source_heartbeat(), ages)
     assert follower.source is first and follower.age_ms() <= 400.0
-    del ages[first.address]  # it sends heartbeats on, and answers nothing
-    watch(follower, 1200, beat(), ages)
+    del ages[first.address]  # it continues to send heartbeats, but no pongs
+    run_steps(follower, 1200, source_heartbeat(), ages)
     assert follower.source is not first and first.stopped
 
 
 def test_a_source_is_left_for_one_whose_state_is_newer(follower):
     follower.step(0.0)
     first = follower.source
-    watch(follower, 1000, beat(), all_but(follower, first.address, 100, 100))
-    watch(follower, 600, beat(), all_but(follower, first.address, 100, 700))
-    assert follower.source is first, "that is not old yet"
-    watch(follower, 600, beat(), all_but(follower, first.address, 100, 1500))
+    run_steps(follower, 1000, source_heartbeat(), ages_except(follower, first.address, 100, 100))
+    run_steps(follower, 600, source_heartbeat(), ages_except(follower, first.address, 100, 700))
+    assert follower.source is first, "its state is not old yet"
+    run_steps(follower, 600, source_heartbeat(), ages_except(follower, first.address, 100, 1500))
     assert follower.source is not first and first.stopped
     assert follower.selector.age(follower.now) <= 400.0
 
 
-def test_nobody_turns_round_and_round_while_every_state_is_old(follower):
+def test_the_source_does_not_keep_changing_while_all_state_is_old(follower):
     follower.step(0.0)
-    watch(follower, 1000, beat(), all_but(follower, None, 100, 100))
+    run_steps(follower, 1000, source_heartbeat(), ages_except(follower, None, 100, 100))
     for step in range(20):
         for address in follower.selector.zones:
             age = 3000.0 + 200 * step
@@ -216,37 +216,37 @@
     assert len(FakeDialer.made) <= 4, made
 
 
-def test_a_channel_to_a_monitor_is_used_on_when_it_becomes_the_source(follower):
+def test_the_channel_to_a_monitor_is_reused_when_it_becomes_the_source(follower):
     follower.step(0.0)
     first = follower.source
-    watch(follower, 1000, beat(), all_but(follower, first.address, 100, 100))
+    run_steps(follower, 1000, source_heartbeat(), ages_except(follower, first.address, 100, 100))
     monitors = dict(follower.monitors)
     assert monitors
-    watch(follower, 1600, beat(), all_but(follower, first.address, 100, 5000))
+    run_steps(follower, 1600, source_heartbeat(), ages_except(follower, first.address, 100, 5000))
     assert follower.source in monitors.values()
     assert [f for f in follower.source.channel.sent if f.WhichOneof("body") == "subscribe"]
 
 
-def test_what_a_source_says_before_it_has_sent_everything_makes_nobody_fresh(follower):
+def test_a_pong_from_a_source_that_has_not_sent_everything_does_not_confirm_the_age(follower):
     follower.step(0.0)
     pong = pb.Pong(sent_at_ms=1, state_age_ms=0, configuration_age_ms=0, follows=False)
     follower.now = 300.0
-    frame_from(follower, pb.Frame(pong=pong))
+    deliver_frame(follower, pb.Frame(pong=pong))
     assert follower.age_ms() == float("inf") and not follower.may_refuse()
 
 
-def test_what_another_than_the_source_says_makes_nobody_fresh(follower):
+def test_a_pong_from_another_process_does_not_confirm_the_age(follower):
     follower.step(0.0)
     follower.send_heartbeat()
     other = next(iter(follower.monitors.values()))
     pong = pb.Pong(sent_at_ms=1, state_age_ms=0, configuration_age_ms=0, follows=True)
-    frame_from(follower, pb.Frame(pong=pong), other)
+    deliver_frame(follower, pb.Frame(pong=pong), other)
     assert follower.age_ms() == float("inf")
 
 
-def test_a_refusal_needs_a_configuration_that_is_newer_than_the_promise(follower):
+def test_a_refusal_needs_a_configuration_younger_than_the_propagation_bound(follower):
     follower.step(0.0)
-    watch(follower, 400, beat(), all_but(follower, None, 100, 100))
+    run_steps(follower, 400, source_heartbeat(), ages_except(follower, None, 100, 100))
     confirmed_at = follower.selector.configuration_confirmed_at
     follower.now = confirmed_at + follower.selector.budget.max_refusal_age_ms
     assert follower.may_refuse()
@@ -254,7 +254,7 @@
     assert not follower.may_refuse() and follower.selector.budget.max_refusal_age_ms < 2000.0
 
 
-def test_a_source_that_no_channel_opens_to_is_left_sooner(follower):
+def test_a_source_without_an_open_channel_is_left_sooner(follower):
     follower.step(0.0)
     first = follower.source
     first.channel = None
@@ -264,40 +264,40 @@
     assert follower.source is not first and first.stopped
 
 
-def test_frames_of_a_source_that_was_left_are_not_taken(follower):
+def test_frames_from_a_previous_source_are_ignored(follower):
     follower._check_source(0.0)
     first = follower.source
-    watch(follower, 1600)
+    run_steps(follower, 1600)
     assert follower.source is not first
-    frame_from(follower, pb.Frame(update=pb.FeedUpdate(group="g", index=3, payload=b"old")), first)
-    assert follower.taken == []
+    deliver_frame(follower, pb.Frame(update=pb.FeedUpdate(group="g", index=3, payload=b"old")), first)
+    assert follower.updates == []
 
 
-def test_a_source_of_the_own_zone_is_taken_when_its_state_is_known_to_be_fresh(follower):
+def test_a_source_of_the_own_zone_is_selected_once_its_state_is_fresh(follower):
     follower.step(0.0)
     zones = {"10.0.0.1:7000": "b", "10.0.0.2:7000": "b", "10.0.0.3:7000": "b"}
     own = next(address for address in zones if address != follower.source.address)
     zones[own] = "a"
-    told = beat(zones=tuple(zones.values()))
-    watch(follower, 4000, told, all_but(follower, own, 100, 3000))
+    heartbeat = source_heartbeat(zones=tuple(zones.values()))
+    run_steps(follower, 4000, heartbeat, ages_except(follower, own, 100, 3000))
     assert follower.source.address != own, "its state is old"
-    watch(follower, 4000, told, all_but(follower, own, 100, 100))
+    run_steps(follower, 4000, heartbeat, ages_except(follower, own, 100, 100))
     assert follower.source.address == own
-    watch(follower, 8000, told, all_but(follower, own, 100, 100))
+    run_steps(follower, 8000, heartbeat, ages_except(follower, own, 100, 100))
     assert follower.source.address == own
 
 
-def test_heartbeats_go_to_the_monitors_and_say_when_it_leaves(follower):
+def test_heartbeats_go_to_the_monitors_and_announce_that_the_scheduler_leaves(follower):
     follower._check_source(0.0)
-    greeted = len(beats_sent())
+    initial_count = len(heartbeats_sent())
     follower.leave()
-    told = beats_sent()
-    assert sum(beat.leaving for _, beat in told) == 2 and len(told) == 2 + greeted
-    assert {beat.node for _, beat in told} == {"edge-1"}
+    sent = heartbeats_sent()
+    assert sum(heartbeat.leaving for _, heartbeat in sent) == 2 and len(sent) == 2 + initial_count
+    assert {heartbeat.node for _, heartbeat in sent} == {"edge-1"}
 
 
-def beats_sent():
-    """(address, heartbeat) of all heartbeats so far."""
+def heartbeats_sent():
+    """(address, heartbeat) of all heartbeats sent so far."""
     return [
         (dialer.address, frame.scheduler_heartbeat)
         for dialer in FakeDialer.made
@@ -306,51 +306,51 @@
     ]
 
 
-def test_a_monitor_is_told_of_a_scheduler_as_soon_as_it_can_be_reached(follower, monkeypatch):
-    """What is sent before a channel is open is lost, and the next heartbeat is 0.6 s away."""
+def test_a_monitor_receives_a_heartbeat_as_soon_as_its_channel_is_open(follower, monkeypatch):
+    """Frames sent before a channel is open are lost, and the next heartbeat is due 0.6 s later."""
     monkeypatch.setattr(FakeDialer, "send", lambda self, frame: None)
     follower._check_source(0.0)
     follower.send_heartbeat()
     wanted = following.monitors("edge-1", follower.selector.zones)
-    assert sorted(address for address, _ in beats_sent()) == sorted(wanted)
-    assert all(beat.peer_address == "10.0.0.9:7010" and not beat.leaving for _, beat in beats_sent())
+    assert sorted(address for address, _ in heartbeats_sent()) == sorted(wanted)
+    assert all(h.peer_address == "10.0.0.9:7010" and not h.leaving for _, h in heartbeats_sent())
 
 
-# -- The age of the state that a source brings -------------------------------------------------------
+# -- The age of a source's state ---------------------------------------------------------------------
 
 
-def pong_to(plane, source, channel):
+def pong_of(plane, source, channel):
     return source.pong(channel, pb.Ping(sent_at_ms=7))
 
 
-def test_a_source_says_that_it_has_sent_everything_only_once_it_has(plane):
+def test_a_source_reports_that_it_has_sent_everything_only_once_it_has(plane):
     plane.put(BODY % 1, 0)
-    source, pipe = source_of(plane), Pipe()
-    assert not pong_to(plane, source, pipe).follows, "it does not follow yet"
+    source, channel = source_of(plane), FakeChannel()
+    assert not pong_of(plane, source, channel).follows, "not subscribed yet"
     ahead = pb.Subscribe(node="edge-1", offsets=[pb.Offset(group=CONFIGURATION, index=10_000)])
-    plane.subscribe(source, pipe, ahead)
-    assert not pong_to(plane, source, pipe).follows, "the source is behind its follower"
-    other = Pipe()
+    plane.subscribe(source, channel, ahead)
+    assert not pong_of(plane, source, channel).follows, "the source is behind its follower"
+    other = FakeChannel()
     plane.subscribe(source, other, pb.Subscribe(node="edge-2"))
-    told = pong_to(plane, source, other)
-    assert told.follows and told.sent_at_ms == 7
-    assert told.state_age_ms < 1000 and told.configuration_age_ms <= told.state_age_ms
+    pong = pong_of(plane, source, other)
+    assert pong.follows and pong.sent_at_ms == 7
+    assert pong.state_age_ms < 1000 and pong.configuration_age_ms <= pong.state_age_ms
 
 
-def test_a_source_whose_lead_is_not_confirmed_grows_old(plane):
-    source, pipe = source_of(plane), Pipe()
-    plane.subscribe(source, pipe, pb.Subscribe(node="edge-1"))
+def test_the_age_of_a_source_grows_while_leadership_is_not_confirmed(plane):
+    source, channel = source_of(plane), FakeChannel()
+    plane.subscribe(source, channel, pb.Subscribe(node="edge-1"))
     replica = plane.host.groups[CONFIGURATION].replica
     replica._follow("")
-    before = pong_to(plane, source, pipe).configuration_age_ms
+    before = pong_of(plane, source, channel).configuration_age_ms
     plane.now += 500.0
-    assert pong_to(plane, source, pipe).configuration_age_ms == before + 500
+    assert pong_of(plane, source, channel).configuration_age_ms == before + 500
 
 
-def test_a_heartbeat_tells_the_version_in_force_and_how_old_it_may_be(follower):
-    told = follower._heartbeat_message()
-    assert (told.configuration_version, told.configuration_age_ms) == (0, 1_000_000)
+def test_a_heartbeat_contains_the_version_in_force_and_its_age(follower):
+    message = follower._heartbeat_message()
+    assert (message.configuration_version, message.configuration_age_ms) == (0, 1_000_000)
     follower.configuration_version = lambda: 12
     follower.selector.caught_up(-30.0, 10.0, 10.0)
-    told = follower._heartbeat_message()
-    assert (told.configuration_version, told.configuration_age_ms) == (12, 40)
+    message = follower._heartbeat_message()
+    assert (message.configuration_version, message.configuration_age_ms) == (12, 40)
--- a/tests/system/test_liveness_contact.py
+++ b/tests/system/test_liveness_contact.py
@@ -88,10 +88,10 @@
         send_heartbeat(plane, sequence=sequence)
         plane.pass_time(300.0)
     plane.host.has_lease = lambda _group: False
-    plane.silence()
+    plane.check_heartbeats()
     del plane.host.has_lease
     plane.now += 900.0
-    plane.silence()
+    plane.check_heartbeats()
     states = [w.state for name in WORKER_GROUPS for w in plane.host.groups[name].machine.workers.values()]
     assert states == [pb.READY]
 
