--- a/tests/system/propagation.py
+++ b/tests/system/propagation.py
@@ -1,7 +1,7 @@
-"""How long an acknowledged change takes until it is in force at each scheduler, on the virtual fleet.
+"""Measures, on the virtual fleet, how long an acknowledged change takes to be in force at each scheduler.
 
-An operator changes the configuration again and again while control-plane processes are in trouble.  Times are
-milliseconds of virtual time, from an acknowledgement until a scheduler has that version or a newer one.
+An operator keeps changing the configuration while faults are injected into control-plane processes.  Times
+are milliseconds of virtual time, from an acknowledgement until a scheduler has that version or a newer one.
 """
 
 import asyncio
@@ -13,27 +13,25 @@
 from molespur.system.rpc import molespur_pb2 as pb
 from molespur.system.shards.placement import CONFIGURATION
 
-CHANGE_EVERY_S = 0.05
-SETTLED_S = 6.0
-BEFORE_S = 2.0
-AFTER_S = 4.0
-HEALED_S = 1.0  # between two troubles
-DISK_HANGS = 1e4  # times as slow
-LOST_SHARE = 0.1  # of the packets on lossy links
-SMALL_BYTES = 1400  # largest frame that passes links for small ones only
-LARGE_BODY, SMALL_BODY = 1 << 20, 3000
-LARGE_EVERY_S = 0.5  # changes of a megabyte
-SLOW_S = (
-    0.01  # of processor time for each thing that a process is told, where it has a tenth of its processor
-)
-CALL_S = 1.0  # an operator waits this long for an answer
+CHANGE_INTERVAL_S = 0.05
+STARTUP_S = 6.0  # before the operator starts
+BEFORE_FAULT_S = 2.0
+AFTER_FAULT_S = 4.0
+BETWEEN_FAULTS_S = 1.0
+HANGING_DISK_SLOWDOWN = 1e4
+LOSS_SHARE = 0.1  # share of packets lost on lossy links
+MAX_SMALL_FRAME_BYTES = 1400  # largest frame that links with the "small frames only" fault pass
+LARGE_BODY, SMALL_BODY = 1 << 20, 3000  # bytes
+LARGE_CHANGE_INTERVAL_S = 0.5  # for changes of a megabyte
+SLOW_EVENT_S = 0.01  # processor time per event of a process that has a tenth of its processor
+CALL_TIMEOUT_S = 1.0  # an operator waits this long for a response
 RETRY_S = 0.05
-SUCCESSOR = 200  # the last part of its address
+SUCCESSOR_NUMBER = 200  # last octet of the address of a replacement
 
 
 @dataclass(frozen=True)
 class Acknowledgement:
-    """A version that an operator was told is taken, and when (ms)."""
+    """A version and the time at which it was acknowledged, or in force at a scheduler (ms)."""
 
     at: float
     version: int
@@ -41,10 +39,10 @@
 
 @dataclass
 class Propagation:
-    """What operators were told, and when each scheduler had which version.
+    """The acknowledged versions, and when each scheduler put which version in force.
 
-    `answer_times`: for each change the time until a clear answer came (ms), less what the operator waited at
-    a process of its own choice that does not answer at all.
+    `answer_times`: for each change the time until a definite response (ms), less the time that the operator
+    waited for processes of its own choice that do not respond at all.
     """
 
     clock: Callable[[], float]
@@ -53,59 +51,59 @@
     in_force: dict[str, list[Acknowledgement]] = field(default_factory=dict)  # by scheduler
 
     def watch(self, name: str, follower) -> None:
-        """Note each version that a scheduler puts in force."""
-        told, seen = follower.on_update, self.in_force.setdefault(name, [])
+        """Record each version that a scheduler puts in force."""
+        on_update, seen = follower.on_update, self.in_force.setdefault(name, [])
 
         def update(group: str, snapshot: bool, payload: bytes) -> None:
-            told(group, snapshot, payload)
+            on_update(group, snapshot, payload)
             if group == CONFIGURATION:
                 seen.append(Acknowledgement(self.clock(), pb.ConfigurationState.FromString(payload).version))
 
         follower.on_update = update
 
     def delays(self) -> list[float]:
-        """For each acknowledged change and scheduler: the time until it was in force; inf: never."""
+        """The time until each acknowledged change was in force at each scheduler; inf: never."""
         return [
-            max(next((s.at for s in seen if s.version >= told.version), float("inf")) - told.at, 0.0)
+            max(next((s.at for s in seen if s.version >= change.version), float("inf")) - change.at, 0.0)
             for seen in self.in_force.values()
-            for told in self.acknowledged
+            for change in self.acknowledged
         ]
 
     def worst(self) -> float:
-        """The longest time."""
+        """The longest delay."""
         return max(self.delays())
 
 
-async def change_again_and_again(fleet: VirtualFleet, seen: Propagation, body_bytes: int) -> None:
-    """One operator, whose next change is built on the last one that was taken."""
+async def change_repeatedly(fleet: VirtualFleet, seen: Propagation, body_bytes: int) -> None:
+    """One operator; each change is based on the last one that was accepted."""
     version = 0
     while True:
         body = configuration(version + 1, f"m{version + 1}", padding=body_bytes)
-        status = await until_clear(fleet, seen, version, body)
+        status = await put_until_definite(fleet, seen, version, body)
         if status == 200:
             version += 1
             seen.acknowledged.append(Acknowledgement(fleet.clock(), version))
-        await asyncio.sleep(LARGE_EVERY_S if body_bytes >= LARGE_BODY else CHANGE_EVERY_S)
+        await asyncio.sleep(LARGE_CHANGE_INTERVAL_S if body_bytes >= LARGE_BODY else CHANGE_INTERVAL_S)
 
 
-async def until_clear(fleet: VirtualFleet, seen: Propagation, base: int, body: bytes) -> int:
-    """Send a change until the answer is clear; return its status, and note how long it took."""
+async def put_until_definite(fleet: VirtualFleet, seen: Propagation, base: int, body: bytes) -> int:
+    """Send a change until the response is definite; return its status, and record the time that it took."""
     fleet.checker.sent(base + 1, base, body)
-    began, silent_ms = fleet.clock(), 0.0
-    address, led = fleet.random.choice(list(fleet.processes)), False
+    started_at, unresponsive_ms = fleet.clock(), 0.0
+    address, was_redirected = fleet.random.choice(list(fleet.processes)), False
     while True:
-        asked = fleet.clock()
-        answer = await fleet.call("PUT", "/api/config", body, {"If-Match": str(base)}, address)
-        if answer is None and not led:
-            silent_ms += fleet.clock() - asked
-        if answer is not None and answer[0] == 307 and not led:
-            address, led = answer[2].removeprefix("http://").partition(":")[0], True
+        sent_at = fleet.clock()
+        response = await fleet.call("PUT", "/api/config", body, {"If-Match": str(base)}, address)
+        if response is None and not was_redirected:
+            unresponsive_ms += fleet.clock() - sent_at
+        if response is not None and response[0] == 307 and not was_redirected:
+            address, was_redirected = response[2].removeprefix("http://").partition(":")[0], True
             continue
-        if answer is not None and answer[0] in (200, 400, 412):
-            fleet.checker.answered(body, answer[0])
-            seen.answer_times.append(fleet.clock() - began - silent_ms)
-            return answer[0]
-        address, led = fleet.random.choice(list(fleet.processes)), False
+        if response is not None and response[0] in (200, 400, 412):
+            fleet.checker.answered(body, response[0])
+            seen.answer_times.append(fleet.clock() - started_at - unresponsive_ms)
+            return response[0]
+        address, was_redirected = fleet.random.choice(list(fleet.processes)), False
         await asyncio.sleep(RETRY_S)
 
 
@@ -115,53 +113,53 @@
 
 
 def cut_off(fleet, address):
-    """Nothing passes between it and anybody."""
+    """No messages pass between the process and any other machine."""
     fleet.isolate(address)
 
 
 def cut_from_control(fleet, address):
-    """Nothing passes between it and the other control-plane processes."""
+    """No messages pass between the process and the other control-plane processes."""
     fleet.isolate(address, core_only=True)
 
 
 def lose_outgoing(fleet, address):
-    """What it sends to the other control-plane processes is lost."""
+    """Messages from the process to the other control-plane processes are lost."""
     fleet.one_way |= {(address, other) for other in others(fleet, address)}
 
 
 def lose_incoming(fleet, address):
-    """What the other control-plane processes send to it is lost."""
+    """Messages from the other control-plane processes to the process are lost."""
     fleet.one_way |= {(other, address) for other in others(fleet, address)}
 
 
 def freeze(fleet, address):
-    """It stands still."""
+    """The process is stopped, as with SIGSTOP."""
     fleet.processes[address].freeze()
 
 
 def hang_disk(fleet, address):
-    """Its disk answers nothing."""
-    fleet.processes[address].disk_slowness = DISK_HANGS
+    """Writes to the disk of the process do not complete."""
+    fleet.processes[address].disk_slowness = HANGING_DISK_SLOWDOWN
 
 
 def fill_disk(fleet, address):
-    """Its disk refuses every write."""
+    """Writes to the disk of the process fail."""
     fleet.processes[address].disk_full = True
 
 
-def lossy(fleet, address):
-    """Its links lose packets."""
-    fleet.lossy[address] = LOST_SHARE
+def lose_packets(fleet, address):
+    """The links of the process lose packets."""
+    fleet.lossy[address] = LOSS_SHARE
 
 
-def small_frames(fleet, address):
-    """Its links pass small frames only: whatever is behind a larger one is stuck."""
-    fleet.small[address] = SMALL_BYTES
+def pass_small_frames_only(fleet, address):
+    """The links of the process pass small frames only: a larger frame blocks those behind it."""
+    fleet.small[address] = MAX_SMALL_FRAME_BYTES
 
 
 def slow_processor(fleet, address):
-    """It has a tenth of its processor."""
-    fleet.processes[address].slow_s = SLOW_S
+    """The process has a tenth of its processor."""
+    fleet.processes[address].slow_s = SLOW_EVENT_S
 
 
 FAULTS = {
@@ -172,14 +170,14 @@
     "frozen": freeze,
     "disk hangs": hang_disk,
     "disk full": fill_disk,
-    "lossy": lossy,
-    "small frames only": small_frames,
+    "lossy": lose_packets,
+    "small frames only": pass_small_frames_only,
     "slow processor": slow_processor,
 }
 
 
 def heal(fleet, address):
-    """The trouble is over."""
+    """End all faults of a process."""
     fleet.heal()
     process = fleet.processes[address]
     process.disk_slowness, process.disk_full, process.slow_s = 1.0, False, 0.0
@@ -187,51 +185,51 @@
         process.thaw()
 
 
-def chosen(fleet: VirtualFleet, role: str, but: str = "") -> str:
-    """The leader of the configuration's shard, or a follower."""
+def choose_process(fleet: VirtualFleet, role: str, exclude: str = "") -> str:
+    """The leader of the configuration shard, or a follower."""
     leader = fleet.leader()
-    if role == "leader" and leader not in (None, but):
+    if role == "leader" and leader not in (None, exclude):
         return leader
-    return next(a for a in fleet.processes if a not in (leader, but))
+    return next(a for a in fleet.processes if a not in (leader, exclude))
 
 
-async def one_trouble(fleet: VirtualFleet, trouble, role: str, duration_s: float) -> None:
-    """One process is in trouble."""
-    address = chosen(fleet, role)
-    trouble(fleet, address)
+async def one_fault(fleet: VirtualFleet, fault, role: str, duration_s: float) -> None:
+    """One process has the fault."""
+    address = choose_process(fleet, role)
+    fault(fleet, address)
     await asyncio.sleep(duration_s)
     heal(fleet, address)
 
 
-async def two_in_a_row(fleet: VirtualFleet, trouble, role: str, duration_s: float) -> None:
-    """One process after the other is in the same trouble."""
-    first = chosen(fleet, role)
-    trouble(fleet, first)
+async def two_in_a_row(fleet: VirtualFleet, fault, role: str, duration_s: float) -> None:
+    """One process has the fault, then another one."""
+    first = choose_process(fleet, role)
+    fault(fleet, first)
     await asyncio.sleep(duration_s)
     heal(fleet, first)
-    await asyncio.sleep(HEALED_S)
-    second = chosen(fleet, role, but=first)
-    trouble(fleet, second)
+    await asyncio.sleep(BETWEEN_FAULTS_S)
+    second = choose_process(fleet, role, exclude=first)
+    fault(fleet, second)
     await asyncio.sleep(duration_s)
     heal(fleet, second)
 
 
-async def again_and_again(fleet: VirtualFleet, trouble, role: str, duration_s: float) -> None:
-    """The trouble of one process comes and goes every second."""
-    address = chosen(fleet, role)
+async def again_and_again(fleet: VirtualFleet, fault, role: str, duration_s: float) -> None:
+    """The fault of one process starts and ends every second."""
+    address = choose_process(fleet, role)
     for _ in range(int(duration_s / 2)):
-        trouble(fleet, address)
+        fault(fleet, address)
         await asyncio.sleep(1.0)
         heal(fleet, address)
         await asyncio.sleep(1.0)
 
 
-async def replaced_meanwhile(fleet: VirtualFleet, trouble, role: str, duration_s: float) -> None:
-    """One process is in trouble while another one is replaced by a new machine, planned."""
-    address = chosen(fleet, role)
-    trouble(fleet, address)
+async def replaced_meanwhile(fleet: VirtualFleet, fault, role: str, duration_s: float) -> None:
+    """One process has the fault during the planned replacement of another one by a new machine."""
+    address = choose_process(fleet, role)
+    fault(fleet, address)
     leaving = next(a for a in fleet.processes if a not in (address, fleet.leader()))
-    fleet.start(f"10.0.0.{SUCCESSOR}", Disk())
+    fleet.start(f"10.0.0.{SUCCESSOR_NUMBER}", Disk())
     await asyncio.sleep(1.0)
     await fleet.stop(leaving)
     fleet.remove(leaving)
@@ -240,7 +238,7 @@
 
 
 COURSES = {
-    "one": one_trouble,
+    "one": one_fault,
     "two in a row": two_in_a_row,
     "again and again": again_and_again,
     "replaced meanwhile": replaced_meanwhile,
@@ -249,7 +247,7 @@
 
 @dataclass(frozen=True)
 class Run:
-    """What is played."""
+    """The parameters of one run."""
 
     fault: str
     role: str = "follower"
@@ -258,34 +256,34 @@
     course: str = "one"
     schedulers: int = 9
     voters: int = 3
-    body_bytes: int = 0  # a configuration is so much larger
+    body_bytes: int = 0  # padding of each configuration
 
     def size(self) -> int:
-        """Bytes by which each configuration is larger: over what small frames hold, in that trouble."""
+        """Padding of each configuration (bytes); with "small frames only" it exceeds a small frame."""
         return max(self.body_bytes, SMALL_BODY if self.fault == "small frames only" else 0)
 
 
 def measure(monkeypatch, run: Run) -> Propagation:
-    """Play one run; return what was seen."""
+    """Play one run; return the recorded propagation."""
     seen = None
 
     async def history(fleet):
         nonlocal seen
-        await asyncio.sleep(SETTLED_S)
+        await asyncio.sleep(STARTUP_S)
         seen = Propagation(fleet.clock)
         for name, follower in fleet.followers:
             seen.watch(name, follower)
-        operator = asyncio.create_task(change_again_and_again(fleet, seen, run.size()))
-        await asyncio.sleep(BEFORE_S)
+        operator = asyncio.create_task(change_repeatedly(fleet, seen, run.size()))
+        await asyncio.sleep(BEFORE_FAULT_S)
         await COURSES[run.course](fleet, FAULTS[run.fault], run.role, run.duration_s)
-        await asyncio.sleep(AFTER_S)
+        await asyncio.sleep(AFTER_FAULT_S)
         operator.cancel()
-        await asyncio.sleep(AFTER_S)
+        await asyncio.sleep(AFTER_FAULT_S)
 
     spares = tuple(f"10.0.0.{number}" for number in range(len(ADDRESSES) + 1, run.voters + 1))
     fleet = VirtualFleet(
         run.seed, monkeypatch, schedulers=run.schedulers, tolerance=run.voters // 2, spares=spares
     )
-    fleet.silence_s = CALL_S
+    fleet.silence_s = CALL_TIMEOUT_S
     fleet.run(history)
     return seen
