--- a/benchmarks/propagation.py
+++ b/benchmarks/propagation.py
@@ -49,7 +49,7 @@
     logging.set_verbosity(logging.FATAL)
     with pytest.MonkeyPatch.context() as monkeypatch:
         seen = measure(monkeypatch, run)
-    return Figures(seen.delays(), max(seen.answer_times))
+    return Figures(seen.delays(), max(seen.response_times_ms))
 
 
 def quantile(ordered: list[float], share: float) -> float:
--- a/tests/system/propagation.py
+++ b/tests/system/propagation.py
@@ -41,12 +41,12 @@
 class Propagation:
     """The acknowledged versions, and when each scheduler put which version in force.
 
-    `answer_times`: for each change the time until a definite response (ms), less the time that the operator
+    `response_times_ms`: for each change the time until a definite response, less the time that the operator
     waited for processes of its own choice that do not respond at all.
     """
 
     clock: Callable[[], float]
-    answer_times: list[float] = field(default_factory=list)
+    response_times_ms: list[float] = field(default_factory=list)
     acknowledged: list[Acknowledgement] = field(default_factory=list)
     in_force: dict[str, list[Acknowledgement]] = field(default_factory=dict)  # by scheduler
 
@@ -101,7 +101,7 @@
             continue
         if response is not None and response[0] in (200, 400, 412):
             fleet.checker.answered(body, response[0])
-            seen.answer_times.append(fleet.clock() - started_at - unresponsive_ms)
+            seen.response_times_ms.append(fleet.clock() - started_at - unresponsive_ms)
             return response[0]
         address, was_redirected = fleet.random.choice(list(fleet.processes)), False
         await asyncio.sleep(RETRY_S)
