--- a/tests/system/test_many_changes.py
+++ b/tests/system/test_many_changes.py
@@ -268,7 +268,7 @@
         for version in range(1, 301):
             while await fleet.put(version, version - 1, "m") is None:
                 pass
-        fleet.late_from = set(fleet.processes)
+        fleet.late_snapshot_senders = set(fleet.processes)
         fleet.restart(away)
         await asyncio.sleep(0.2)
         fleet.kill(leader)
--- a/tests/system/test_virtual_fleet.py
+++ b/tests/system/test_virtual_fleet.py
@@ -119,7 +119,7 @@
         """One misses enough changes for a snapshot, and its pieces come late; then the leader is lost."""
         self.fleet.kill(address)
         await asyncio.sleep(4.0)
-        self.fleet.late_from = set(self._up())
+        self.fleet.late_snapshot_senders = set(self._up())
         self.fleet.restart(address)
         await asyncio.sleep(0.3)
         leader = self.fleet.leader()
@@ -127,7 +127,7 @@
             self.fleet.kill(leader)
             await self._pass()
             self.fleet.restart(leader)
-        self.fleet.late_from.clear()
+        self.fleet.late_snapshot_senders.clear()
 
     async def _strike_planned_replacement(self, address):
         spare = self.spares.pop()
--- a/tests/system/virtual_fleet.py
+++ b/tests/system/virtual_fleet.py
@@ -308,7 +308,7 @@
         self.random, self.loop = Random(seed), VirtualLoop()
         self.processes, self.cut, self.checker = {}, set(), Checker()
         self.gone = set()  # addresses of machines that have left for good
-        self.one_way, self.late_from = (
+        self.one_way, self.late_snapshot_senders = (
             set(),
             set(),
         )  # (from, to) that nothing passes; senders of late snapshots
@@ -402,12 +402,12 @@
         self.lossy.clear()
         self.small.clear()
         self.one_way.clear()
-        self.late_from.clear()
+        self.late_snapshot_senders.clear()
 
     def lateness(self, sender, frame):
         """How much longer a frame takes, s: snapshots of some senders come late."""
         is_snapshot = frame.consensus.HasField("install_snapshot")
-        return 1.5 * self.random.random() if is_snapshot and sender in self.late_from else 0.0
+        return 1.5 * self.random.random() if is_snapshot and sender in self.late_snapshot_senders else 0.0
 
     def resent(self, here, there):
         """How much longer packets take that are lost on their way, s: each loss doubles the wait."""
