--- a/tests/system/propagation.py
+++ b/tests/system/propagation.py
@@ -149,12 +149,12 @@
 
 def lose_packets(fleet, address):
     """The links of the process lose packets."""
-    fleet.lossy[address] = LOSS_SHARE
+    fleet.loss_share[address] = LOSS_SHARE
 
 
 def pass_small_frames_only(fleet, address):
     """The links of the process pass small frames only: a larger frame blocks those behind it."""
-    fleet.small[address] = MAX_SMALL_FRAME_BYTES
+    fleet.max_frame_bytes[address] = MAX_SMALL_FRAME_BYTES
 
 
 def slow_processor(fleet, address):
@@ -284,6 +284,6 @@
     fleet = VirtualFleet(
         run.seed, monkeypatch, schedulers=run.schedulers, tolerance=run.voters // 2, spares=spares
     )
-    fleet.silence_s = CALL_TIMEOUT_S
+    fleet.unresponsive_s = CALL_TIMEOUT_S
     fleet.run(history)
     return seen
--- a/tests/system/test_redirects.py
+++ b/tests/system/test_redirects.py
@@ -28,7 +28,7 @@
 
 def play(monkeypatch, history, seed=61):
     fleet = VirtualFleet(seed, monkeypatch, schedulers=0)
-    fleet.lost_answers = 0.0
+    fleet.response_loss = 0.0
     fleet.run(history)
 
 
--- a/tests/system/test_virtual_fleet.py
+++ b/tests/system/test_virtual_fleet.py
@@ -1,4 +1,4 @@
-"""Random histories of a whole control plane: what was acknowledged holds, whatever is lost, one at a time."""
+"""Random histories of a complete control plane under faults: what was acknowledged is never lost."""
 
 import asyncio
 from collections import Counter
@@ -7,24 +7,24 @@
 import pytest
 from virtual_fleet import Checker, Disk, VirtualFleet, configuration
 
-LENGTH_S = 60.0  # of virtual time
-FAULT_S = (0.3, 4.0)
-CALM_S = 6.0
+HISTORY_S = 60.0  # of virtual time
+FAULT_DURATION_S = (0.3, 4.0)  # min., max.
+RECOVERY_S = 6.0  # between two faults
 SPARES = tuple(f"10.0.2.{number}" for number in range(1, 40))
 
 
 async def operators(fleet, until):
-    """Changes one after the other, now and then two at once on one version."""
+    """Successive changes, sometimes two concurrent ones based on one version."""
     version, number = 0, 0
     while fleet.loop.time() < until:
         number += 1
         step = fleet.random.randint(1, 3)
         marks = [f"m{number}a", f"m{number}b"][: 1 + (fleet.random.random() < 0.3)]
         changes = [(version + step + extra, mark) for extra, mark in enumerate(marks)]
-        answers = await asyncio.gather(*(fleet.put(number, version, mark) for number, mark in changes))
-        taken = [n for (n, _), answer in zip(changes, answers, strict=True) if answer and answer[0] == 200]
-        if taken:
-            version = taken[0]
+        responses = await asyncio.gather(*(fleet.put(number, version, mark) for number, mark in changes))
+        accepted = [n for (n, _), reply in zip(changes, responses, strict=True) if reply and reply[0] == 200]
+        if accepted:
+            version = accepted[0]
         else:
             read = await fleet.request("GET", "/api/config")
             if read is not None and read[0] == 200:
@@ -33,90 +33,93 @@
 
 
 async def workers(fleet, until):
-    """Workers come, beat, and leave; each has its address."""
+    """Workers that register, send heartbeats and leave; each has its own address."""
     number = 0
     while fleet.loop.time() < until:
         number += 1
         for sequence in (1, 2):
             await fleet.send_heartbeat(number, "ready", sequence)
         await fleet.send_heartbeat(number, "draining", 3)
-        await fleet.send_heartbeat(number, "ready", 2)  # a call that was held up on its way
+        await fleet.send_heartbeat(number, "ready", 2)  # a delayed heartbeat
         await asyncio.sleep(fleet.random.random())
 
 
-class Trouble:
-    """Losses one at a time, or of all at once with their disks kept; counts what came."""
+class FaultInjector:
+    """Injects one fault at a time, or a power loss of all processes; counts the kinds."""
 
     def __init__(self, fleet, due):
-        self.fleet, self.random, self.met = fleet, fleet.random, Counter()
+        self.fleet, self.random, self.counts = fleet, fleet.random, Counter()
         self.spares, self.due = list(SPARES), due
 
     async def run(self, until):
-        """Strike until a time, with a calm after each that the bounds ask for."""
+        """Inject faults until a time, each followed by the recovery time that the guarantees assume."""
         while self.fleet.loop.time() < until:
             if not self.due:
                 self.due.extend(self.random.sample(KINDS, len(KINDS)))
             await asyncio.sleep(0.5 + 2.0 * self.random.random())
             kind, address = self.due.pop(), self.random.choice(self._up())
-            self.met[kind] += 1
-            await getattr(self, f"_strike_{kind}")(address)
-            await asyncio.sleep(CALM_S)
+            self.counts[kind] += 1
+            await getattr(self, f"_inject_{kind}")(address)
+            await asyncio.sleep(RECOVERY_S)
 
     def _up(self):
         return [address for address, process in self.fleet.processes.items() if process.up]
 
-    async def _pass(self):
-        await asyncio.sleep(FAULT_S[0] + (FAULT_S[1] - FAULT_S[0]) * self.random.random())
+    async def _wait(self):
+        """Wait for the duration of a fault."""
+        await asyncio.sleep(
+            FAULT_DURATION_S[0] + (FAULT_DURATION_S[1] - FAULT_DURATION_S[0]) * self.random.random()
+        )
 
-    async def _strike_kill(self, address):
+    async def _inject_kill(self, address):
         self.fleet.kill(address)
-        await self._pass()
+        await self._wait()
         self.fleet.restart(address)
 
-    async def _strike_wipe(self, address):
+    async def _inject_wipe(self, address):
         self.fleet.kill(address)
-        await self._pass()
+        await self._wait()
         self.fleet.wipe(address)
 
-    async def _strike_cut(self, address):
+    async def _inject_cut(self, address):
         self.fleet.isolate(address)
-        await self._pass()
+        await self._wait()
         self.fleet.heal()
 
-    async def _strike_one_way(self, address):
+    async def _inject_one_way(self, address):
         others = [other for other in self._up() if other != address]
         outgoing = self.random.random() < 0.5
         pairs = {(address, other) if outgoing else (other, address) for other in others}
         self.fleet.one_way |= pairs
-        await self._pass()
+        await self._wait()
         self.fleet.heal()
 
-    async def _strike_halves(self, _address):
+    async def _inject_halves(self, _address):
         up = self._up()
-        self.fleet.halve(self.random.sample(up, len(up) // 2))
-        await self._pass()
+        self.fleet.partition(self.random.sample(up, len(up) // 2))
+        await self._wait()
         self.fleet.heal()
 
-    async def _strike_slow_disk(self, address):
+    async def _inject_slow_disk(self, address):
         process = self.fleet.processes[address]
         process.disk_slowness = 100.0
-        await self._pass()
+        await self._wait()
         process.disk_slowness = 1.0
 
-    async def _strike_full_disk(self, address):
+    async def _inject_full_disk(self, address):
         process = self.fleet.processes[address]
         process.disk_full = True
-        await self._pass()
+        await self._wait()
         process.disk_full = False
 
-    async def _strike_freeze(self, address):
+    async def _inject_freeze(self, address):
         process = self.fleet.processes[address]
         process.freeze()
-        await self._pass()
+        await self._wait()
         process.thaw()
 
-    async def _strike_late_snapshot(self, address):
-        """One misses enough changes for a snapshot, and its pieces come late; then the leader is lost."""
+    async def _inject_late_snapshot(self, address):
+        """A process needs a snapshot, whose pieces arrive late; meanwhile the leader is lost."""
         self.fleet.kill(address)
         await asyncio.sleep(4.0)
         self.fleet.late_snapshot_senders = set(self._up())
@@ -125,53 +128,53 @@
         leader = self.fleet.leader()
         if leader not in (None, address):
             self.fleet.kill(leader)
-            await self._pass()
+            await self._wait()
             self.fleet.restart(leader)
         self.fleet.late_snapshot_senders.clear()
 
-    async def _strike_planned_replacement(self, address):
+    async def _inject_planned_replacement(self, address):
         spare = self.spares.pop()
         self.fleet.start(spare, Disk())
         await asyncio.sleep(self.random.random() * 2.0)
         await self.fleet.stop(address)
         self.fleet.remove(address)
 
-    async def _strike_unplanned_replacement(self, address):
+    async def _inject_unplanned_replacement(self, address):
         self.fleet.kill(address)
         await asyncio.sleep(self.random.random() * 2.0)
         self.fleet.start(self.spares.pop(), Disk())
         await asyncio.sleep(0.1)
         self.fleet.remove(address)
 
-    async def _strike_restart(self, address):
+    async def _inject_restart(self, address):
         await self.fleet.stop(address)
         await asyncio.sleep(0.5)
         self.fleet.restart(address)
 
-    async def _strike_all_without_power(self, _address):
+    async def _inject_all_without_power(self, _address):
         up = self._up()
         for other in up:
             self.fleet.kill(other)
-        await self._pass()
+        await self._wait()
         for other in up:
             self.fleet.restart(other)
 
-    async def _strike_disk_lost_after_acknowledgement(self, address):
-        """Power goes at the moment of an acknowledgement, and a disk with it."""
+    async def _inject_disk_lost_after_acknowledgement(self, address):
+        """At an acknowledgement all processes lose power, and one its disk."""
         self.fleet.acknowledged.clear()
         with suppress(TimeoutError):
             await asyncio.wait_for(self.fleet.acknowledged.wait(), 5.0)
-        await self._all_dark_one_wiped(address)
+        await self._all_without_power_one_wiped(address)
 
-    async def _strike_one_behind(self, address):
-        """One misses changes, then another loses its disk while all are without power."""
+    async def _inject_one_behind(self, address):
+        """One process misses changes, then all lose power, and another one its disk."""
         self.fleet.isolate(address)
-        await self._pass()
+        await self._wait()
         wiped = next(other for other in self._up() if other != address)
-        await self._all_dark_one_wiped(wiped)
+        await self._all_without_power_one_wiped(wiped)
         self.fleet.heal()
 
-    async def _all_dark_one_wiped(self, wiped):
+    async def _all_without_power_one_wiped(self, wiped):
         up = self._up()
         for other in up:
             self.fleet.kill(other)
@@ -185,44 +188,44 @@
 
 
 def play(seed, monkeypatch, due, tolerance=1):
-    """One history; returns how often each kind of trouble came.  `due`: kinds that come next, last first."""
-    met = Counter()
+    """Run one history; return the number of faults by kind.  `due`: the kinds to inject next, last first."""
+    counts = Counter()
 
     async def history(fleet):
         await asyncio.sleep(5.0)
-        trouble = Trouble(fleet, due)
-        until = fleet.loop.time() + LENGTH_S
-        await asyncio.gather(operators(fleet, until), workers(fleet, until), trouble.run(until))
+        injector = FaultInjector(fleet, due)
+        until = fleet.loop.time() + HISTORY_S
+        await asyncio.gather(operators(fleet, until), workers(fleet, until), injector.run(until))
         await fleet.settle()
         read = await fleet.request("GET", "/api/config", tries=40)
         assert read is not None and read[0] == 200
         fleet.checker.check(read[1])
         assert len(fleet.checker.acknowledged) >= 5 and len(fleet.checker.draining) >= 5
-        met.update(trouble.met)
+        counts.update(injector.counts)
 
     spares = ("10.0.0.4", "10.0.0.5", "10.0.0.6") if tolerance == 2 else ()
     VirtualFleet(seed, monkeypatch, tolerance=tolerance, spares=spares).run(history)
-    return met
+    return counts
 
 
-KINDS = [name.removeprefix("_strike_") for name in dir(Trouble) if name.startswith("_strike_")]
+KINDS = [name.removeprefix("_inject_") for name in dir(FaultInjector) if name.startswith("_inject_")]
 
 
 @pytest.mark.parametrize("part", range(4))
-def test_whatever_is_lost_what_was_acknowledged_holds(part, monkeypatch):
-    """Each kind of trouble comes in each part of the histories: a part that lacks one fails."""
-    met, due = Counter(), []
+def test_what_was_acknowledged_survives_every_kind_of_fault(part, monkeypatch):
+    """Each part of the histories must inject each kind of fault at least once."""
+    counts, due = Counter(), []
     for seed in range(part, 16, 4):
-        met.update(play(seed, monkeypatch, due))
-    print(dict(met))
-    assert not [kind for kind in KINDS if not met[kind]], met
+        counts.update(play(seed, monkeypatch, due))
+    print(dict(counts))
+    assert not [kind for kind in KINDS if not counts[kind]], counts
 
 
-def test_whatever_is_lost_of_five_voters_with_a_learner(monkeypatch):
-    met, due = Counter(), []
+def test_what_was_acknowledged_survives_faults_of_five_voters_with_a_learner(monkeypatch):
+    counts, due = Counter(), []
     for seed in range(3):
-        met.update(play(100 + seed, monkeypatch, due, tolerance=2))
-    assert not [kind for kind in KINDS if not met[kind]], met
+        counts.update(play(100 + seed, monkeypatch, due, tolerance=2))
+    assert not [kind for kind in KINDS if not counts[kind]], counts
 
 
 # -- The checker itself ----------------------------------------------------------------------------
@@ -237,7 +240,7 @@
     return checker
 
 
-def test_the_checker_finds_two_winners_losses_and_refusals_in_force():
+def test_the_checker_finds_conflicting_changes_lost_changes_and_refused_ones():
     with pytest.raises(AssertionError, match="two changes on one version"):
         acknowledged((1, 0, "a"), (2, 0, "b")).check(configuration(2, "b"))
     with pytest.raises(AssertionError, match="2 was acknowledged, 1 was read back"):
@@ -248,7 +251,7 @@
         checker.check(configuration(1, "a"))
 
 
-def test_the_checker_finds_a_scheduler_that_goes_back_and_a_worker_that_does():
+def test_the_checker_finds_older_configurations_and_returning_workers_at_a_scheduler():
     from molespur.system.rpc import molespur_pb2 as pb
     from molespur.system.shards.placement import CONFIGURATION, WORKER_GROUPS
 
