--- a/molespur/system/control_plane/role.py
+++ b/molespur/system/control_plane/role.py
@@ -1,4 +1,4 @@
-"""The control-plane role: one process that hosts replicas, serves the feed and answers HTTP."""
+"""The control-plane role: one process that hosts replicas, serves the feed and the HTTP interface."""
 
 import asyncio
 import time
--- a/molespur/system/workers/liveness.py
+++ b/molespur/system/workers/liveness.py
@@ -110,9 +110,9 @@
 
     def find_overdue(self, now: float) -> list[pb.Worker]:
         """The changed records of workers whose heartbeats are missing."""
-        was_stalled = now - self.last_check_at > MAX_CHECK_GAP_MS
+        was_interrupted = now - self.last_check_at > MAX_CHECK_GAP_MS
         self.last_check_at = now
-        if was_stalled:
+        if was_interrupted:
             self.reset(now)
             return []
         overdue, live_count = [], 0
--- a/molespur/system/workers/phases.py
+++ b/molespur/system/workers/phases.py
@@ -13,7 +13,7 @@
 from ..rpc import molespur_pb2 as pb
 
 PREFILL, DECODE = "prefill", "decode"
-PREFILL_TOKENS_PER_S = 28_000.0  # planned load of one prefill worker: half of what it can process
+PREFILL_TOKENS_PER_S = 28_000.0  # max. planned load of a prefill worker: half of what it can process
 DECODE_SLOT_UTILIZATION = 0.5  # planned share of a decode worker's slots in use
 MIN_TOKENS_PER_S = 2_000.0  # below this prefill load the split is left as it is
 MIN_DECODE_SHARE = 1 / 6  # min. share of the workers that decode, so that the loss of a few is tolerated
@@ -23,7 +23,7 @@
 )
 HYSTERESIS = 0.6  # min. deviation from the target split (workers) before a change
 SETTLE_MS = 600.0  # a change must be needed for this long
-FIRST_SETTLE_MS = 250.0  # the same for the first change and in a shortage of decode workers
+FIRST_SETTLE_MS = 250.0  # the same in a shortage, and for the first change: traffic has just begun
 REVERSE_MS = 8_000.0  # min. time from the last order to a change in the opposite direction
 MIN_ORDER_INTERVAL_MS = 6_000.0  # min. time between two orders to one worker
 
--- a/tests/system/control.py
+++ b/tests/system/control.py
@@ -91,12 +91,12 @@
         self._in_loop(source.start_pending_groups)
 
     def _in_loop(self, function):
-        async def called():
+        async def call_and_yield():
             function()
             for _ in range(5):
                 await asyncio.sleep(0)
 
-        self.loop.run_until_complete(called())
+        self.loop.run_until_complete(call_and_yield())
 
     def pass_time(self, ms):
         """Advance the clock in steps of 50 ms."""
@@ -114,12 +114,12 @@
     def call(self, method, path, body=b"", **headers):
         """Make one HTTP call; return (status, body)."""
 
-        async def made():
+        async def send_request():
             fields = {key.replace("_", "-"): value for key, value in headers.items()}
             response = await self.client.open(path, method=method, data=body, headers=fields)
             return response.status_code, await response.get_data()
 
-        return self.loop.run_until_complete(made())
+        return self.loop.run_until_complete(send_request())
 
     def put(self, body, base):
         return self.call("PUT", "/api/config", body, If_Match=str(base))
--- a/tests/system/propagation.py
+++ b/tests/system/propagation.py
@@ -50,7 +50,7 @@
     acknowledged: list[Acknowledgement] = field(default_factory=list)
     in_force: dict[str, list[Acknowledgement]] = field(default_factory=dict)  # by scheduler
 
-    def watch(self, name: str, follower) -> None:
+    def record_updates(self, name: str, follower) -> None:
         """Record each version that a scheduler puts in force."""
         on_update, seen = follower.on_update, self.in_force.setdefault(name, [])
 
@@ -74,21 +74,21 @@
         return max(self.delays())
 
 
-async def change_repeatedly(fleet: VirtualFleet, seen: Propagation, body_bytes: int) -> None:
+async def change_repeatedly(fleet: VirtualFleet, propagation: Propagation, body_bytes: int) -> None:
     """One operator; each change is based on the last one that was accepted."""
     version = 0
     while True:
         body = configuration(version + 1, f"m{version + 1}", padding=body_bytes)
-        status = await put_until_definite(fleet, seen, version, body)
+        status = await put_until_definite(fleet, propagation, version, body)
         if status == 200:
             version += 1
-            seen.acknowledged.append(Acknowledgement(fleet.clock(), version))
+            propagation.acknowledged.append(Acknowledgement(fleet.clock(), version))
         await asyncio.sleep(LARGE_CHANGE_INTERVAL_S if body_bytes >= LARGE_BODY else CHANGE_INTERVAL_S)
 
 
-async def put_until_definite(fleet: VirtualFleet, seen: Propagation, base: int, body: bytes) -> int:
+async def put_until_definite(fleet: VirtualFleet, propagation: Propagation, base: int, body: bytes) -> int:
     """Send a change until the response is definite; return its status, and record the time that it took."""
-    fleet.checker.sent(base + 1, base, body)
+    fleet.checker.record_sent(base + 1, base, body)
     started_at, unresponsive_ms = fleet.clock(), 0.0
     address, was_redirected = fleet.random.choice(list(fleet.processes)), False
     while True:
@@ -100,8 +100,8 @@
             address, was_redirected = response[2].removeprefix("http://").partition(":")[0], True
             continue
         if response is not None and response[0] in (200, 400, 412):
-            fleet.checker.answered(body, response[0])
-            seen.response_times_ms.append(fleet.clock() - started_at - unresponsive_ms)
+            fleet.checker.record_response(body, response[0])
+            propagation.response_times_ms.append(fleet.clock() - started_at - unresponsive_ms)
             return response[0]
         address, was_redirected = fleet.random.choice(list(fleet.processes)), False
         await asyncio.sleep(RETRY_S)
@@ -265,15 +265,15 @@
 
 def measure(monkeypatch, run: Run) -> Propagation:
     """Play one run; return the recorded propagation."""
-    seen = None
+    propagation = None
 
     async def history(fleet):
-        nonlocal seen
+        nonlocal propagation
         await asyncio.sleep(STARTUP_S)
-        seen = Propagation(fleet.clock)
+        propagation = Propagation(fleet.clock)
         for name, follower in fleet.followers:
-            seen.watch(name, follower)
-        operator = asyncio.create_task(change_repeatedly(fleet, seen, run.size()))
+            propagation.record_updates(name, follower)
+        operator = asyncio.create_task(change_repeatedly(fleet, propagation, run.size()))
         await asyncio.sleep(BEFORE_FAULT_S)
         await COURSES[run.course](fleet, FAULTS[run.fault], run.role, run.duration_s)
         await asyncio.sleep(AFTER_FAULT_S)
@@ -286,4 +286,4 @@
     )
     fleet.unresponsive_s = CALL_TIMEOUT_S
     fleet.run(history)
-    return seen
+    return propagation
--- a/tests/system/test_feed.py
+++ b/tests/system/test_feed.py
@@ -5,7 +5,7 @@
 import pytest
 from control import OneControlPlane
 
-from molespur.system.feed import follower as following
+from molespur.system.feed import follower as feed_follower
 from molespur.system.feed.follower import FeedFollower
 from molespur.system.rpc import molespur_pb2 as pb
 from molespur.system.settings.process import ProcessSettings
@@ -29,9 +29,9 @@
 
 @pytest.fixture
 def plane(tmp_path):
-    made = OneControlPlane(tmp_path)
-    yield made
-    made.close()
+    control_plane = OneControlPlane(tmp_path)
+    yield control_plane
+    control_plane.close()
 
 
 def source_of(plane):
@@ -106,12 +106,12 @@
 class FakeDialer:
     """Stands in for a dialer whose channel is open at once."""
 
-    made = []
+    instances = []
 
     def __init__(self, address, on_frame, on_open=None, bind_ip=""):
         self.address, self.on_frame, self.channel, self.stopped = address, on_frame, FakeChannel(), False
         self.channel.label = address
-        FakeDialer.made.append(self)
+        FakeDialer.instances.append(self)
         if on_open is not None:
             on_open(self.channel)
 
@@ -124,16 +124,20 @@
 
 @pytest.fixture
 def follower(monkeypatch):
-    monkeypatch.setattr(following, "Dialer", FakeDialer)
-    FakeDialer.made = []
+    monkeypatch.setattr(feed_follower, "Dialer", FakeDialer)
+    FakeDialer.instances = []
     settings = ProcessSettings(
         "edge-1", "10.0.0.9", "a", (7000, 7010), ("10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80")
     )
-    made = FeedFollower(
-        settings, lambda: made.now, Random(1), lambda *update: made.updates.append(update), lambda _: []
+    new_follower = FeedFollower(
+        settings,
+        lambda: new_follower.now,
+        Random(1),
+        lambda *update: new_follower.updates.append(update),
+        lambda _: [],
     )
-    made.now, made.updates = 0.0, []
-    return made
+    new_follower.now, new_follower.updates = 0.0, []
+    return new_follower
 
 
 def deliver_frame(follower, frame, source=None):
@@ -212,8 +216,8 @@
             follower.selector.reported(follower.now, address, follower.now, age, age)
         follower.now += 200.0
         follower.step(follower.now)
-    made = [dialer.address for dialer in FakeDialer.made if not dialer.stopped]
-    assert len(FakeDialer.made) <= 4, made
+    open_addresses = [dialer.address for dialer in FakeDialer.instances if not dialer.stopped]
+    assert len(FakeDialer.instances) <= 4, open_addresses
 
 
 def test_the_channel_to_a_monitor_is_reused_when_it_becomes_the_source(follower):
@@ -300,7 +304,7 @@
     """(address, heartbeat) of all heartbeats sent so far."""
     return [
         (dialer.address, frame.scheduler_heartbeat)
-        for dialer in FakeDialer.made
+        for dialer in FakeDialer.instances
         for frame in dialer.channel.sent
         if frame.WhichOneof("body") == "scheduler_heartbeat"
     ]
@@ -311,7 +315,7 @@
     monkeypatch.setattr(FakeDialer, "send", lambda self, frame: None)
     follower._check_source(0.0)
     follower.send_heartbeat()
-    wanted = following.monitors("edge-1", follower.selector.zones)
+    wanted = feed_follower.monitors("edge-1", follower.selector.zones)
     assert sorted(address for address, _ in heartbeats_sent()) == sorted(wanted)
     assert all(h.peer_address == "10.0.0.9:7010" and not h.leaving for _, h in heartbeats_sent())
 
--- a/tests/system/test_feed_history.py
+++ b/tests/system/test_feed_history.py
@@ -19,19 +19,19 @@
 
 
 def configuration(version, routes):
-    made = [
+    fields = [
         {"Name": f"r{n}", "Host": "h.example", "PathPrefix": f"/{n}/{LONG_PATH}/", "Type": "idempotent",
          "Service": "s", "TimeoutMs": 1000 + version}
         for n in range(routes)
     ]  # fmt: skip
-    return json.dumps({"Version": version, "Routes": made, "Services": [{"Name": "s"}]}).encode()
+    return json.dumps({"Version": version, "Routes": fields, "Services": [{"Name": "s"}]}).encode()
 
 
 @pytest.fixture
 def plane(tmp_path):
-    made = OneControlPlane(tmp_path)
-    yield made
-    made.close()
+    control_plane = OneControlPlane(tmp_path)
+    yield control_plane
+    control_plane.close()
 
 
 def test_many_changes_of_a_large_configuration_do_not_fill_the_memory(plane):
--- a/tests/system/test_liveness_contact.py
+++ b/tests/system/test_liveness_contact.py
@@ -15,9 +15,9 @@
 
 @pytest.fixture
 def plane(tmp_path):
-    made = OneControlPlane(tmp_path)
-    yield made
-    made.close()
+    control_plane = OneControlPlane(tmp_path)
+    yield control_plane
+    control_plane.close()
 
 
 def worker(state=pb.READY, sequence=1, **changes):
--- a/tests/system/test_old_configuration.py
+++ b/tests/system/test_old_configuration.py
@@ -17,8 +17,8 @@
     route.update({"TimeoutMs": 5000, "TargetLatencyMs": 300, "MaxAttempts": 1})
     services = [{"Name": "s", "MaxConnections": 50}]
     limits = {"MaxBodyBytes": 1000, "MaxHeaderBytes": 4000}
-    made = {"Version": version, "Routes": [route], "Services": services, "Limits": limits}
-    return json.dumps(made).encode()
+    fields = {"Version": version, "Routes": [route], "Services": services, "Limits": limits}
+    return json.dumps(fields).encode()
 
 
 def send_request(freshness, sent, newer=None):
--- a/tests/system/test_operator_histories.py
+++ b/tests/system/test_operator_histories.py
@@ -9,7 +9,7 @@
 from molespur.system.rpc import molespur_pb2 as pb
 from molespur.system.shards.configuration import ConfigurationMachine, PutOutcome
 
-HISTORIES, PARTS = 200, 4
+HISTORIES, BATCHES = 200, 4
 REQUIRED_EVENTS = (
     "response lost", "two leaders", "on a future version", "repeat", "repeat of a refused change",
     "same change twice concurrently", "accepted", "refused", "cut", "power", "all power", "wipe", "freeze",
@@ -24,10 +24,10 @@
     assert play(seed)[0]
 
 
-@pytest.mark.parametrize("part", range(PARTS))
-def test_histories_of_operators_are_linearizable(part):
+@pytest.mark.parametrize("batch", range(BATCHES))
+def test_histories_of_operators_are_linearizable(batch):
     total = Counter()
-    for seed in range(part, HISTORIES, PARTS):
+    for seed in range(batch, HISTORIES, BATCHES):
         is_linearizable, counts = play(seed)
         assert is_linearizable, f"seed {seed}"
         total.update(counts)
--- a/tests/system/test_orders.py
+++ b/tests/system/test_orders.py
@@ -25,7 +25,7 @@
 
 
 @asynccontextmanager
-async def order_taker(status=b"202 Accepted"):
+async def order_receiver(status=b"202 Accepted"):
     """A worker that responds to every order with one status; yields its address and the received orders."""
     orders = []
 
@@ -46,15 +46,15 @@
 
 @pytest.fixture
 def plane(tmp_path):
-    made = OneControlPlane(tmp_path)
-    yield made
-    made.close()
+    control_plane = OneControlPlane(tmp_path)
+    yield control_plane
+    control_plane.close()
 
 
-def orders_of(plane):
-    made = PhaseOrders(plane.host.settings, plane.host, plane.calls, BusySchedulers(), lambda: plane.now)
-    made.became_owner(GROUP)
-    return made
+def create_orders(plane):
+    orders = PhaseOrders(plane.host.settings, plane.host, plane.calls, BusySchedulers(), lambda: plane.now)
+    orders.became_owner(GROUP)
+    return orders
 
 
 def register(plane, address):
@@ -66,7 +66,7 @@
     directory.workers = {worker.id: worker for worker in workers}
 
 
-def look_until_ordered(plane, orders):
+def run_until_ordered(plane, orders):
     for _ in range(4):
         orders.send_due_orders(plane.now)
         if orders._tasks:
@@ -76,16 +76,16 @@
 
 def test_an_order_carries_the_term_in_which_leadership_was_certain(plane):
     async def scenario():
-        async with order_taker() as (address, taken):
+        async with order_receiver() as (address, received):
             register(plane, address)
-            orders = orders_of(plane)
+            orders = create_orders(plane)
             plane.pass_time(plane.host.settings.bounds.lease_ms + HANDOVER_MS + 100.0)
             own_term = plane.host.groups[GROUP].replica.hard_state.term
-            look_until_ordered(plane, orders)
+            run_until_ordered(plane, orders)
             plane.host.groups[GROUP].replica.hard_state.term += 3  # the term of another owner arrives
-            while not taken:
+            while not received:
                 await asyncio.sleep(0)
-            assert {order["FencingToken"] for order in taken} == {own_term}
+            assert {order["FencingToken"] for order in received} == {own_term}
             for task in orders._tasks:
                 task.cancel()
 
@@ -95,13 +95,13 @@
 def test_a_new_owner_waits_a_lease_before_its_first_order(plane):
     async def scenario():
         register(plane, "127.0.0.1:1")
-        orders = orders_of(plane)
+        orders = create_orders(plane)
         wait = plane.host.settings.bounds.lease_ms + HANDOVER_MS
         while plane.now - orders.owner_since[GROUP] < wait:
             orders.send_due_orders(plane.now)
             assert not orders._tasks
             plane.pass_time(200.0)
-        look_until_ordered(plane, orders)
+        run_until_ordered(plane, orders)
         assert orders._tasks
         for task in orders._tasks:
             task.cancel()
@@ -111,9 +111,9 @@
 
 def test_a_worker_that_has_seen_a_higher_token_gets_no_more_orders_with_the_refused_one(plane):
     async def scenario():
-        async with order_taker(b"412 Precondition Failed") as (address, taken):
+        async with order_receiver(b"412 Precondition Failed") as (address, received):
             register(plane, address)
-            orders = orders_of(plane)
+            orders = create_orders(plane)
             plane.pass_time(plane.host.settings.bounds.lease_ms + HANDOVER_MS + 100.0)
             for _ in range(400):
                 orders.send_due_orders(plane.now)
@@ -121,7 +121,7 @@
                 if orders._tasks:
                     await asyncio.gather(*orders._tasks)
             assert len(orders.refused_tokens) > 1
-            assert len(taken) == len(orders.refused_tokens), "one order to each worker with this token"
+            assert len(received) == len(orders.refused_tokens), "one order to each worker with this token"
 
     plane.loop.run_until_complete(scenario())
 
@@ -148,11 +148,11 @@
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
                 if head.startswith(b"GET /api/report"):
-                    answer, body = b"200 OK", self._report()
+                    status, body = b"200 OK", self._report()
                 else:
                     length = int(head.lower().partition(b"content-length:")[2].split(b"\r\n")[0])
-                    answer, body = self._order(json.loads(await reader.readexactly(length))), b""
-                writer.write(b"HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s" % (answer, len(body), body))
+                    status, body = self._order(json.loads(await reader.readexactly(length))), b""
+                writer.write(b"HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s" % (status, len(body), body))
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
@@ -180,7 +180,7 @@
     async def run():
         worker = CountingWorker()
         async with worker.serving() as address:
-            orders = orders_of(plane)
+            orders = create_orders(plane)
             record = pb.Worker(id="w-0", service=SERVICE, address=address, phase="decode", capacity=64)
 
             async def execute_order(phase):
@@ -248,14 +248,14 @@
 def test_a_leader_without_contact_to_a_majority_does_not_confirm_its_leadership(plane):
     """It was stalled, and receives the call before its timers run."""
 
-    class Pipe:
+    class FakeChannel:
         sent = []
 
         def send(self, frame):
             self.sent.append(frame.reply.status)
 
     call = pb.Call(id=1, method=IS_LEADER, subject=CONFIGURATION)
-    plane.loop.run_until_complete(plane.calls.reply_to(Pipe(), call))
+    plane.loop.run_until_complete(plane.calls.reply_to(FakeChannel(), call))
     plane.host.in_touch = lambda _name: False
-    plane.loop.run_until_complete(plane.calls.reply_to(Pipe(), call))
-    assert Pipe.sent == [200, 503]
+    plane.loop.run_until_complete(plane.calls.reply_to(FakeChannel(), call))
+    assert FakeChannel.sent == [200, 503]
--- a/tests/system/test_sources.py
+++ b/tests/system/test_sources.py
@@ -38,9 +38,9 @@
 
 @pytest.fixture
 def scheduler():
-    made = Scheduler({"p": "a", "q": "b", "r": "c"})
-    made.run(2000)
-    return made
+    new_scheduler = Scheduler({"p": "a", "q": "b", "r": "c"})
+    new_scheduler.run(2000)
+    return new_scheduler
 
 
 def test_a_healthy_source_is_kept(scheduler):
--- a/tests/system/test_virtual_fleet.py
+++ b/tests/system/test_virtual_fleet.py
@@ -211,11 +211,11 @@
 KINDS = [name.removeprefix("_inject_") for name in dir(FaultInjector) if name.startswith("_inject_")]
 
 
-@pytest.mark.parametrize("part", range(4))
-def test_what_was_acknowledged_survives_every_kind_of_fault(part, monkeypatch):
-    """Each part of the histories must inject each kind of fault at least once."""
+@pytest.mark.parametrize("batch", range(4))
+def test_what_was_acknowledged_survives_every_kind_of_fault(batch, monkeypatch):
+    """Each batch of histories must inject each kind of fault at least once."""
     counts, due = Counter(), []
-    for seed in range(part, 16, 4):
+    for seed in range(batch, 16, 4):
         counts.update(play(seed, monkeypatch, due))
     print(dict(counts))
     assert not [kind for kind in KINDS if not counts[kind]], counts
@@ -235,8 +235,8 @@
     checker = Checker()
     for version, base, mark in changes:
         body = configuration(version, mark)
-        checker.sent(version, base, body)
-        checker.answered(body, 200)
+        checker.record_sent(version, base, body)
+        checker.record_response(body, 200)
     return checker
 
 
@@ -246,7 +246,7 @@
     with pytest.raises(AssertionError, match="2 was acknowledged, 1 was read back"):
         acknowledged((1, 0, "a"), (2, 1, "b")).check(configuration(1, "a"))
     checker = acknowledged((1, 0, "a"))
-    checker.answered(configuration(1, "a"), 412)
+    checker.record_response(configuration(1, "a"), 412)
     with pytest.raises(AssertionError, match="acknowledged and refused"):
         checker.check(configuration(1, "a"))
 
--- a/tests/system/virtual_fleet.py
+++ b/tests/system/virtual_fleet.py
@@ -13,7 +13,7 @@
 from molespur.system.control_plane.calls import worker_from_registration
 from molespur.system.control_plane.http import create_app
 from molespur.system.errors import FleetError
-from molespur.system.feed import follower as following
+from molespur.system.feed import follower as feed_follower
 from molespur.system.rpc import molespur_pb2 as pb
 from molespur.system.settings.process import FaultTolerance, ProcessSettings
 from molespur.system.shards import host
@@ -65,13 +65,13 @@
         self.replica_id = replica_id
 
     def load(self, group):
-        state, snapshot, entries = self.groups.get(group, (role_states()[0], role_states()[1], {}))
+        state, snapshot, entries = self.groups.get(group, (empty_state()[0], empty_state()[1], {}))
         kept = [entries[index] for index in sorted(entries) if index > snapshot.index]
         return Loaded(type(state)(state.term, state.vote), snapshot, kept)
 
     def write(self, records):
         for group, record in records:
-            _, snapshot, entries = self.groups.get(group, (*role_states(), {}))
+            _, snapshot, entries = self.groups.get(group, (*empty_state(), {}))
             entries = dict(entries)
             if record.snapshot is not None:
                 snapshot = record.snapshot
@@ -85,7 +85,7 @@
         pass
 
 
-def role_states():
+def empty_state():
     """The hard state and the snapshot of an empty disk."""
     from molespur.system.consensus.replica import HardState, Snapshot
 
@@ -470,23 +470,23 @@
             tuple(f"{address}:{HTTP_PORT}" for address in ADDRESSES),
         )  # fmt: skip
         on_update = self.checker.follower(name)
-        made = following.FeedFollower(
+        follower = feed_follower.FeedFollower(
             settings, self.clock, Random(self.random.random()), on_update, lambda _now: []
         )
         self._monkeypatch.setattr(
-            following, "Dialer", lambda *arguments: FollowerDialer(self, name, *arguments), raising=True
+            feed_follower, "Dialer", lambda *arguments: FollowerDialer(self, name, *arguments), raising=True
         )
-        self.followers.append((name, made))
-        self.loop.create_task(self._run_follower(name, made))
+        self.followers.append((name, follower))
+        self.loop.create_task(self._run_follower(name, follower))
 
-    async def _run_follower(self, name, made):
+    async def _run_follower(self, name, follower):
         def dialer(*arguments, **options):
             return FollowerDialer(self, name, *arguments, **options)
 
         while True:
-            following.Dialer = dialer  # per step: it does not await, so no other follower runs meanwhile
-            made.step(self.clock())
-            await asyncio.sleep(following.CHECK_INTERVAL_S)
+            feed_follower.Dialer = dialer  # set per step: a step does not await
+            follower.step(self.clock())
+            await asyncio.sleep(feed_follower.CHECK_INTERVAL_S)
 
     # -- Callers -------------------------------------------------------------------------------
 
@@ -522,9 +522,9 @@
     async def put(self, version, base, mark):
         """Put a configuration and record the outcome in the checker."""
         body = configuration(version, mark)
-        self.checker.sent(version, base, body)
+        self.checker.record_sent(version, base, body)
         response = await self.request("PUT", "/api/config", body, {"If-Match": str(base)})
-        self.checker.answered(body, None if response is None else response[0])
+        self.checker.record_response(body, None if response is None else response[0])
         if response is not None and response[0] == 200:
             self.acknowledged.set()
         return response
@@ -557,10 +557,10 @@
     """A configuration; `mark` distinguishes it from others of its version, `padding` bytes are added."""
     route = {"Name": mark, "Host": "h", "PathPrefix": f"/{mark}/", "Type": "idempotent", "Service": "s"}
     services = [{"Name": "s", "MaxConnections": 10}]
-    made = {"Version": version, "Routes": [route], "Services": services}
+    fields = {"Version": version, "Routes": [route], "Services": services}
     if padding:
-        made["Comment"] = "x" * padding
-    return json.dumps(made).encode()
+        fields["Comment"] = "x" * padding
+    return json.dumps(fields).encode()
 
 
 class Checker:
@@ -573,10 +573,10 @@
         self.draining = set()  # workers whose draining was acknowledged
         self.usable_workers = {}  # scheduler -> shard -> workers that it may send requests to
 
-    def sent(self, version, base, body):
+    def record_sent(self, version, base, body):
         self.base_of[body], self.version_of[body] = base, version
 
-    def answered(self, body, status):
+    def record_response(self, body, status):
         if status == 200:
             self.acknowledged.add(body)
         elif status is not None:
