--- a/molespur/system/data_plane/worker_call.py
+++ b/molespur/system/data_plane/worker_call.py
@@ -11,7 +11,7 @@
 
 from ...policy.pair import Demand, Step
 from ...policy.tracking import ServingPhase
-from ..faults import FaultPoint, strike
+from ..faults import FaultPoint, trigger
 from ..settings.configuration import STREAMING, Route, Service
 from .answer_checks import check_head, is_framed, read_handle
 from .client_answer import ClientResponse
@@ -210,7 +210,7 @@
         self.handle = read_handle(body)
         self._on_bytes_received()
         self._on_first_response()
-        strike(FaultPoint.AFTER_PREFILL)
+        trigger(FaultPoint.AFTER_PREFILL)
         return PrefillCompleted(self.attempt, self.handle)
 
     async def _run(self) -> Event:
@@ -228,7 +228,7 @@
         response = await self._call(extra)
         self.handle_taken = True
         try:
-            strike(FaultPoint.AFTER_HEAD)
+            trigger(FaultPoint.AFTER_HEAD)
             self.shared.client_response.check_continues(response.head)
             if route.type == STREAMING and 200 <= response.head.status < 300:
                 return await self._relay_events(response, last_id)
@@ -274,10 +274,10 @@
                         Failure.MAY_HAVE_RUN, "resumed stream repeats events that the client has received"
                     )
             await self._forward(head, complete_events, events)
-            strike(FaultPoint.BETWEEN_EVENTS)
+            trigger(FaultPoint.BETWEEN_EVENTS)
         if not is_framed(head):
             raise UpstreamError(Failure.MAY_HAVE_RUN, "stream without framing headers may be truncated")
-        strike(FaultPoint.AFTER_LAST_EVENT)
+        trigger(FaultPoint.AFTER_LAST_EVENT)
         self._report_progress()
         await client_response.end_stream(head, events.take_rest())
         return ResponseCompleted(self.attempt)
--- a/tests/system/test_cut_off_control.py
+++ b/tests/system/test_cut_off_control.py
@@ -7,7 +7,7 @@
 import asyncio
 
 import pytest
-from propagation import cut_from_control, cut_off, fill_disk, freeze, heal, not_heard, not_hearing
+from propagation import cut_from_control, cut_off, fill_disk, freeze, heal, lose_incoming, lose_outgoing
 from virtual_fleet import ADDRESSES, Link, VirtualFleet, configuration
 
 from molespur.system.errors import FleetError
@@ -29,8 +29,8 @@
 WAYS = {
     "all": cut_off,
     "core": cut_from_control,
-    "outgoing": not_heard,
-    "incoming": not_hearing,
+    "outgoing": lose_outgoing,
+    "incoming": lose_incoming,
     "frozen": freeze,
     "disk hangs": hang_disk,
     "disk full": fill_disk,
@@ -134,7 +134,7 @@
 
         back = Link(self.fleet, self.address, "edge-probe", told)
         frame = pb.Frame(subscribe=pb.Subscribe(node=f"probe-{self.sequence}"))
-        process.when_awake(process.plane._frame, back, frame)
+        process.when_awake(process.plane._handle_frame, back, frame)
 
 
 def chosen(fleet, role):
@@ -168,7 +168,7 @@
         assert all(version >= asked for asked, version in prober.started), prober.started
         assert any(asked >= before for asked, _ in prober.started), "it starts schedulers again"
         assert newest.version > before
-        answer = await fleet.ask("GET", "/api/config", tries=40)
+        answer = await fleet.request("GET", "/api/config", tries=40)
         fleet.checker.check(answer[1])
         own = fleet.processes[address].plane.host.groups[CONFIGURATION].machine
         assert own.version >= newest.version
@@ -184,7 +184,7 @@
     async def history(fleet):
         await asyncio.sleep(SETTLED_S)
         for number in range(4):
-            await fleet.beat(number, "ready", 1)
+            await fleet.send_heartbeat(number, "ready", 1)
         leaders = {name: fleet.leader(name) for name in fleet.processes[ADDRESSES[0]].plane.host.groups}
         for leader in set(leaders.values()):
             fleet.isolate(leader)
