--- a/molespur/system/control_plane/calls.py
+++ b/molespur/system/control_plane/calls.py
@@ -186,7 +186,7 @@
         if outcome is PutOutcome.MISMATCH:
             raise FleetError(ErrorKind.VERSION_MISMATCH, f"current version is {machine.version}")
         if outcome is PutOutcome.NOT_NEWER:
-            raise FleetError(ErrorKind.INVALID_CONFIGURATION, f"Version: must be above {machine.version}")
+            raise FleetError(ErrorKind.INVALID_CONFIGURATION, f"Version: not above {machine.version}")
 
     async def configuration(self) -> bytes | None:
         """The newest configuration, None before the first.  Raises FleetError(NO_LEADER) if unconfirmed."""
--- a/molespur/system/control_plane/http.py
+++ b/molespur/system/control_plane/http.py
@@ -49,7 +49,7 @@
         try:
             base_version = int(request.headers.get("If-Match", "").strip().strip('"') or 0)
         except ValueError as error:
-            raise FleetError(ErrorKind.UNREADABLE, "If-Match is not a version number") from error
+            raise FleetError(ErrorKind.UNREADABLE, "If-Match is not a version") from error
         body = await request.get_data()
         try:
             await calls.put_configuration(body, base_version)
--- a/molespur/system/workers/liveness.py
+++ b/molespur/system/workers/liveness.py
@@ -101,7 +101,7 @@
         if known is not None and known.sequence > worker.sequence:
             return True  # committed by a previous owner
         if worker.sequence < self.proposed_sequences.get(worker.id, 0):
-            raise FleetError(ErrorKind.OUTCOME_UNKNOWN, f"{worker.id}: a later heartbeat is being committed")
+            raise FleetError(ErrorKind.OUTCOME_UNKNOWN, f"{worker.id}: a later call is under way")
         return False
 
     def suspend(self) -> None:
