--- a/molespur/system/consensus/leading.py
+++ b/molespur/system/consensus/leading.py
@@ -7,7 +7,7 @@
 from .records import NotLeader, Proposed, ReadConfirmed, ReadRefused, Role
 from .replica_state import ReplicaState
 from .snapshot_transfer import SnapshotSending
-from .timing import ELECTION_MS, HEARTBEAT_MS, RETRY_APPEND_MS
+from .timing import ELECTION_MS, HEARTBEAT_INTERVAL_MS, RETRY_APPEND_MS
 
 
 class Leading(ReplicaState):
@@ -42,7 +42,7 @@
         return self.progress.setdefault(member.replica_id, fresh)
 
     def _broadcast(self) -> None:
-        self.heartbeat_at = self.now + HEARTBEAT_MS
+        self.heartbeat_at = self.now + HEARTBEAT_INTERVAL_MS
         for member in self.log.membership.members:
             if member.replica_id != self.id:
                 self._replicate(member)
@@ -156,7 +156,7 @@
         recent = [
             (p.match, k)
             for k, p in self.progress.items()
-            if k in self.voters() and self.now - p.heard_at < 2 * HEARTBEAT_MS + RETRY_APPEND_MS
+            if k in self.voters() and self.now - p.heard_at < 2 * HEARTBEAT_INTERVAL_MS + RETRY_APPEND_MS
         ]
         if not recent:
             return
--- a/molespur/system/consensus/replica.py
+++ b/molespur/system/consensus/replica.py
@@ -37,12 +37,13 @@
     TransferLeadership,
     Unsynced,
 )
-from .timing import ELECTION_MS, HEARTBEAT_MS
+from .timing import ELECTION_MS, HEARTBEAT_INTERVAL_MS
 
 __all__ = [
-    "ELECTION_MS", "HEARTBEAT_MS", "Action", "Apply", "ChangeMembership", "Compact", "Event", "HardState",
-    "NotLeader", "Persist", "Persisted", "Propose", "Proposed", "Read", "ReadConfirmed", "ReadRefused",
-    "Received", "Replica", "Restore", "Role", "RoleChanged", "Send", "Snapshot", "Tick", "TransferLeadership",
+    "ELECTION_MS", "HEARTBEAT_INTERVAL_MS", "Action", "Apply", "ChangeMembership", "Compact", "Event",
+    "HardState", "NotLeader", "Persist", "Persisted", "Propose", "Proposed", "Read", "ReadConfirmed",
+    "ReadRefused", "Received", "Replica", "Restore", "Role", "RoleChanged", "Send", "Snapshot", "Tick",
+    "TransferLeadership",
 ]  # fmt: skip
 
 
--- a/molespur/system/feed/budget.py
+++ b/molespur/system/feed/budget.py
@@ -16,14 +16,14 @@
 
 from dataclasses import dataclass
 
-from ..consensus.timing import HEARTBEAT_MS
+from ..consensus.timing import HEARTBEAT_INTERVAL_MS
 
 LOOK_MS = 200.0  # a scheduler asks its source for the age of its state, and looks what follows from it
 UNREACHABLE_MS = 300.0  # a source that no channel is open to is left after this time
 CATCH_UP_MS = 150.0
 TICK_MS = 50.0  # a control-plane process looks this often what is due
 ROUND_TRIP_MS = 10.0
-CALM_MS = 2 * (HEARTBEAT_MS + TICK_MS) + LOOK_MS + 2 * ROUND_TRIP_MS
+CALM_MS = 2 * (HEARTBEAT_INTERVAL_MS + TICK_MS) + LOOK_MS + 2 * ROUND_TRIP_MS
 LEAVE_SHARE = 0.4  # of the promise: the age at which a source is left
 REFUSE_SHARE = 0.9  # of the promise: the age beyond which nothing is refused for good
 LEAST_LEAVE_MS = 1.2 * CALM_MS  # a source in order is not left, however short the promise
