--- a/molespur/system/consensus/elections.py
+++ b/molespur/system/consensus/elections.py
@@ -4,7 +4,12 @@
 from .progress import Progress
 from .records import Role
 from .replica_state import ReplicaState
-from .timing import ELECTION_MS, FIRST_ELECTION_MS, YIELD_MS
+from .timing import (
+    ELECTION_TIMEOUT_RANGE_MS,
+    FIRST_ELECTION_TIMEOUT_RANGE_MS,
+    MIN_ELECTION_TIMEOUT_MS,
+    YIELD_TIMEOUT_RANGE_MS,
+)
 
 
 class Elections(ReplicaState):
@@ -22,7 +27,9 @@
             self._set_role(Role.CANDIDATE)
         self.votes = {self.id}
         never_led = self.leader_heard_at == float("-inf")
-        self._reset_election(FIRST_ELECTION_MS if pre_vote and never_led else ELECTION_MS)
+        self._reset_election(
+            FIRST_ELECTION_TIMEOUT_RANGE_MS if pre_vote and never_led else ELECTION_TIMEOUT_RANGE_MS
+        )
         for member in self.log.membership.members:
             if member.voter and member.replica_id != self.id:
                 message = self._message(member.replica_id, term)
@@ -61,7 +68,7 @@
         if self.role is Role.OUTSIDER or not self.is_voter():
             return  # a replica that has forgotten its votes, or has none, takes part in no vote
         request = message.vote_request
-        heard = self.leader_silence(self.now) < ELECTION_MS[0]
+        heard = self.leader_silence(self.now) < MIN_ELECTION_TIMEOUT_MS
         if heard and not request.leadership_transfer and message.sender != self.leader_id:
             return  # guards against a member that was cut off disturbing a group that has a leader
         if message.term < self.hard_state.term:
@@ -74,7 +81,7 @@
             if granted and self.role is Role.PRE_CANDIDATE and message.sender > self.id:
                 # both would get every pre-vote and split the votes: the one with the lower identity gives way
                 self._follow("")
-                self._reset_election(YIELD_MS)
+                self._reset_election(YIELD_TIMEOUT_RANGE_MS)
             self._answer_vote(message, granted, after_write=False)
             return
         if message.term > self.hard_state.term:
--- a/molespur/system/consensus/leading.py
+++ b/molespur/system/consensus/leading.py
@@ -7,7 +7,7 @@
 from .records import NotLeader, Proposed, ReadConfirmed, ReadRefused, Role
 from .replica_state import ReplicaState
 from .snapshot_transfer import SnapshotSending
-from .timing import ELECTION_MS, HEARTBEAT_INTERVAL_MS, RETRY_APPEND_MS
+from .timing import APPEND_RETRY_TIMEOUT_MS, HEARTBEAT_INTERVAL_MS, MAX_ELECTION_TIMEOUT_MS
 
 
 class Leading(ReplicaState):
@@ -50,7 +50,7 @@
     def _replicate(self, member: pb.Member) -> None:
         """Send what the member lacks, or an empty append while an earlier one is unanswered."""
         progress = self._progress_of(member)
-        progress.give_up(self.now, RETRY_APPEND_MS)
+        progress.give_up(self.now, APPEND_RETRY_TIMEOUT_MS)
         message = self._message(member.replica_id)
         previous_term = self.log.term_at(progress.next - 1)
         if previous_term is None:
@@ -156,12 +156,13 @@
         recent = [
             (p.match, k)
             for k, p in self.progress.items()
-            if k in self.voters() and self.now - p.heard_at < 2 * HEARTBEAT_INTERVAL_MS + RETRY_APPEND_MS
+            if k in self.voters()
+            and self.now - p.heard_at < 2 * HEARTBEAT_INTERVAL_MS + APPEND_RETRY_TIMEOUT_MS
         ]
         if not recent:
             return
         match, self.transfer_to = max(recent)
-        self.transfer_until = self.now + ELECTION_MS[1]
+        self.transfer_until = self.now + MAX_ELECTION_TIMEOUT_MS
         member = self.member(self.transfer_to)
         if match == self.log.last_index:
             self._send(member, self._timeout_now(self.transfer_to))
--- a/molespur/system/consensus/replica.py
+++ b/molespur/system/consensus/replica.py
@@ -37,11 +37,11 @@
     TransferLeadership,
     Unsynced,
 )
-from .timing import ELECTION_MS, HEARTBEAT_INTERVAL_MS
+from .timing import MAX_ELECTION_TIMEOUT_MS, MIN_ELECTION_TIMEOUT_MS
 
 __all__ = [
-    "ELECTION_MS", "HEARTBEAT_INTERVAL_MS", "Action", "Apply", "ChangeMembership", "Compact", "Event",
-    "HardState", "NotLeader", "Persist", "Persisted", "Propose", "Proposed", "Read", "ReadConfirmed",
+    "MAX_ELECTION_TIMEOUT_MS", "MIN_ELECTION_TIMEOUT_MS", "Action", "Apply", "ChangeMembership", "Compact",
+    "Event", "HardState", "NotLeader", "Persist", "Persisted", "Propose", "Proposed", "Read", "ReadConfirmed",
     "ReadRefused", "Received", "Replica", "Restore", "Role", "RoleChanged", "Send", "Snapshot", "Tick",
     "TransferLeadership",
 ]  # fmt: skip
--- a/molespur/system/consensus/replica_state.py
+++ b/molespur/system/consensus/replica_state.py
@@ -24,7 +24,12 @@
 )
 from .snapshot_transfer import SnapshotReceiving
 from .state_age import StateAge
-from .timing import ELECTION_MS, FIRST_ELECTION_MS, LEASE_MS
+from .timing import (
+    ELECTION_TIMEOUT_RANGE_MS,
+    FIRST_ELECTION_TIMEOUT_RANGE_MS,
+    LEADER_LEASE_MS,
+    MIN_ELECTION_TIMEOUT_MS,
+)
 
 
 class ReplicaState:
@@ -65,7 +70,7 @@
         self.durable_term = self.hard_state.term
         self.led_since = self.transfer_until = now
         self._set_role(Role.FOLLOWER if self.log.membership.members else Role.OUTSIDER)
-        self._reset_election(FIRST_ELECTION_MS)
+        self._reset_election(FIRST_ELECTION_TIMEOUT_RANGE_MS)
         self._actions.clear()
 
     def member(self, replica_id: str) -> pb.Member | None:
@@ -103,7 +108,7 @@
         """
         if self.role is not Role.LEADER or self.transfer_to:
             return False
-        return self._own_term_committed() and now - self._quorum_heard_at(now) < LEASE_MS
+        return self._own_term_committed() and now - self._quorum_heard_at(now) < LEADER_LEASE_MS
 
     def in_touch(self, now: float) -> bool:
         """Whether a proposal may be taken: this replica leads, and no other can have been elected since.
@@ -113,7 +118,7 @@
         """
         if self.role is not Role.LEADER:
             return False
-        return min(now - self._quorum_heard_at(now), now - self.led_since) < ELECTION_MS[0]
+        return min(now - self._quorum_heard_at(now), now - self.led_since) < MIN_ELECTION_TIMEOUT_MS
 
     def _own_term_committed(self) -> bool:
         """Whether an entry of the own term is committed, and so all that earlier terms have committed."""
@@ -154,7 +159,7 @@
         if changed:
             self._actions.append(RoleChanged(role, self.member(leader)))
 
-    def _reset_election(self, between: tuple[float, float] = ELECTION_MS) -> None:
+    def _reset_election(self, between: tuple[float, float] = ELECTION_TIMEOUT_RANGE_MS) -> None:
         low, high = between
         self.election_at = self.now + low + (high - low) * self.random.random()
 
--- a/molespur/system/shards/host.py
+++ b/molespur/system/shards/host.py
@@ -155,7 +155,7 @@
         replica = self.groups[group].replica
         if (
             replica.role is not raft.Role.LEADER
-            and replica.leader_silence(self.clock()) > raft.ELECTION_MS[0]
+            and replica.leader_silence(self.clock()) > raft.MIN_ELECTION_TIMEOUT_MS
         ):
             return None
         return replica.member(replica.leader_id)
--- a/tests/system/test_freshness_budget.py
+++ b/tests/system/test_freshness_budget.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from molespur.system.consensus.timing import ELECTION_MS
+from molespur.system.consensus.timing import MAX_ELECTION_TIMEOUT_MS
 from molespur.system.feed.budget import CALM_MS, FreshnessBudget
 
 WORST_ASKED_MS = 1600.0  # for the promise of 2,000 ms that the deployments of today make
@@ -25,4 +25,4 @@
 def test_an_election_fits_into_the_promise_of_today():
     """While nobody leads nothing is acknowledged: state grows old by it, but not wrong."""
     budget = FreshnessBudget(2000.0)
-    assert ELECTION_MS[1] < budget.refuse_ms
+    assert budget.refuse_ms > MAX_ELECTION_TIMEOUT_MS
