--- a/molespur/system/consensus/replica.py
+++ b/molespur/system/consensus/replica.py
@@ -79,7 +79,7 @@
 
     def _tick(self) -> None:
         if self.role is Role.LEADER:
-            if not self.in_touch(self.now):
+            if not self.has_quorum_contact(self.now):
                 self._step_down()
             elif self.now >= self.heartbeat_at:
                 self._broadcast()
--- a/molespur/system/consensus/replica_state.py
+++ b/molespur/system/consensus/replica_state.py
@@ -110,7 +110,7 @@
             return False
         return self._own_term_committed() and now - self._quorum_heard_at(now) < LEADER_LEASE_MS
 
-    def in_touch(self, now: float) -> bool:
+    def has_quorum_contact(self, now: float) -> bool:
         """Whether a proposal may be taken: this replica leads, and no other can have been elected since.
 
         A majority must have answered within the shortest election time-out; a leader that is cut off learns
--- a/molespur/system/control_plane/calls.py
+++ b/molespur/system/control_plane/calls.py
@@ -209,7 +209,7 @@
 
     def _must_be_in_touch(self, name: str) -> None:
         """Raises FleetError(NO_LEADER) where this process can commit nothing in a group."""
-        if not self.host.in_touch(name):
+        if not self.host.has_quorum_contact(name):
             raise FleetError(ErrorKind.NO_LEADER, name)
 
 
--- a/molespur/system/shards/host.py
+++ b/molespur/system/shards/host.py
@@ -146,9 +146,9 @@
         """Whether this process leads the group and a majority has followed it lately."""
         return self.groups[group].replica.has_lease(self.clock())
 
-    def in_touch(self, group: str) -> bool:
+    def has_quorum_contact(self, group: str) -> bool:
         """Whether this process leads the group and can still commit: what it is asked is worth proposing."""
-        return self.groups[group].replica.in_touch(self.clock())
+        return self.groups[group].replica.has_quorum_contact(self.clock())
 
     def leader(self, group: str) -> pb.Member | None:
         """The group's leader, as far as known."""
@@ -179,7 +179,7 @@
         Raises FleetError: NO_LEADER when it was not taken, OUTCOME_UNKNOWN when it may be.
         """
         group = self.groups[name]
-        if not group.replica.in_touch(self.clock()):
+        if not group.replica.has_quorum_contact(self.clock()):
             raise FleetError(ErrorKind.NO_LEADER, name)
         outcome = asyncio.get_running_loop().create_future()
         actions = group.replica.handle(self.clock(), raft.Propose(data))
--- a/molespur/system/shards/membership.py
+++ b/molespur/system/shards/membership.py
@@ -69,7 +69,7 @@
         released = []
         for name in request.groups:
             group = self.host.groups.get(name)
-            if group is None or not self.host.in_touch(name):
+            if group is None or not self.host.has_quorum_contact(name):
                 continue
             group.planner.leaves(request.replica_id, self.clock())
             if group.planner.may_leave(group.replica, request.replica_id, self.clock()):
--- a/molespur/system/shards/membership_changes.py
+++ b/molespur/system/shards/membership_changes.py
@@ -116,7 +116,12 @@
         ready = [m for m in members if not m.voter and self._caught_up(replica, m, now)]
         lost = [m for m in voters if self._silence(replica, m, now) > LOST_AFTER_MS]
         most = (len(voters) - 1) // 2  # with more silent ones the fault may be on this side
-        if ready and len(voters) >= self.voters_wanted and 0 < len(lost) <= most and replica.in_touch(now):
+        if (
+            ready
+            and len(voters) >= self.voters_wanted
+            and 0 < len(lost) <= most
+            and replica.has_quorum_contact(now)
+        ):
             return pb.Membership(members=[m for m in members if m is not lost[0]])
         gone = [m for m in members if not m.voter and self._silence(replica, m, now) > LEARNER_LOST_AFTER_MS]
         if gone:
--- a/tests/system/test_cut_off_control.py
+++ b/tests/system/test_cut_off_control.py
@@ -192,7 +192,7 @@
             led = [name for name, address in leaders.items() if address == leader]
             logs = {name: host.groups[name].replica.log.last_index for name in led}
             await asyncio.sleep(0.75)
-            assert not any(host.in_touch(name) for name in led)
+            assert not any(host.has_quorum_contact(name) for name in led)
             for name in led:
                 asked = fleet.loop.time()
                 with pytest.raises(FleetError):
--- a/tests/system/test_orders.py
+++ b/tests/system/test_orders.py
@@ -256,6 +256,6 @@
 
     call = pb.Call(id=1, method=LEADS, subject=CONFIGURATION)
     plane.loop.run_until_complete(plane.calls.answer(Pipe(), call))
-    plane.host.in_touch = lambda _name: False
+    plane.host.has_quorum_contact = lambda _name: False
     plane.loop.run_until_complete(plane.calls.answer(Pipe(), call))
     assert Pipe.sent == [200, 503]
--- a/tests/system/test_redirects.py
+++ b/tests/system/test_redirects.py
@@ -81,7 +81,9 @@
 
         def serves():
             leader = fleet.leader()
-            return leader not in (old, None) and fleet.processes[leader].plane.host.in_touch(CONFIGURATION)
+            return leader not in (old, None) and fleet.processes[leader].plane.host.has_quorum_contact(
+                CONFIGURATION
+            )
 
         while not serves():
             await asyncio.sleep(0.01)
