--- a/molespur/system/consensus/elections.py
+++ b/molespur/system/consensus/elections.py
@@ -26,7 +26,7 @@
             self._write()
             self._set_role(Role.CANDIDATE)
         self.votes = {self.id}
-        never_led = self.leader_heard_at == float("-inf")
+        never_led = self.leader_contact_at_ms == float("-inf")
         self._reset_election(
             FIRST_ELECTION_TIMEOUT_RANGE_MS if pre_vote and never_led else ELECTION_TIMEOUT_RANGE_MS
         )
@@ -61,14 +61,14 @@
         }
         if self.leader_heard_last in self.progress and self.leader_heard_last not in voted:
             # the leader before may be lost: its silence has lasted since it was heard of last
-            self.progress[self.leader_heard_last].heard_at = self.leader_heard_at
+            self.progress[self.leader_heard_last].heard_at = self.leader_contact_at_ms
         self._propose(pb.NOOP, b"")
 
     def _vote_requested(self, message: pb.ConsensusMessage) -> None:
         if self.role is Role.OUTSIDER or not self.is_voter():
             return  # a replica that has forgotten its votes, or has none, takes part in no vote
         request = message.vote_request
-        heard = self.leader_silence(self.now) < MIN_ELECTION_TIMEOUT_MS
+        heard = self.ms_since_leader_contact(self.now) < MIN_ELECTION_TIMEOUT_MS
         if heard and not request.leadership_transfer and message.sender != self.leader_id:
             return  # guards against a member that was cut off disturbing a group that has a leader
         if message.term < self.hard_state.term:
--- a/molespur/system/consensus/following.py
+++ b/molespur/system/consensus/following.py
@@ -9,7 +9,7 @@
     """A replica as a follower."""
 
     def _heard_leader(self, message: pb.ConsensusMessage) -> None:
-        self.leader_heard_at, self.leader_heard_last = self.now, message.sender
+        self.leader_contact_at_ms, self.leader_heard_last = self.now, message.sender
         self._reset_election()
         if self.role is not Role.FOLLOWER or self.leader_id != message.sender:
             self._follow(message.sender)
@@ -17,7 +17,7 @@
     def _append_requested(self, message: pb.ConsensusMessage) -> None:
         self._heard_leader(message)
         request = message.append_request
-        self.named_commit_index = max(self.named_commit_index, request.commit_index)
+        self.leader_commit_index = max(self.leader_commit_index, request.commit_index)
         previous = request.previous_index
         if previous < self.log.snapshot.index:
             # entries that the snapshot stands for are committed, so they match
--- a/molespur/system/consensus/replica_state.py
+++ b/molespur/system/consensus/replica_state.py
@@ -57,9 +57,9 @@
         self.receiving = SnapshotReceiving()
         self.age = StateAge()
         self.life = life
-        self.leader_heard_at = float("-inf")
+        self.leader_contact_at_ms = float("-inf")
         self.leader_heard_last = ""  # who that was
-        self.named_commit_index = 0  # the highest that a leader has named; it may be beyond the own log
+        self.leader_commit_index = 0  # the highest that a leader has named; it may be beyond the own log
         self.transfer_to = ""
         self.now = now
         self.heartbeat_at = now
@@ -85,11 +85,11 @@
         """Whether this replica votes."""
         return self.id in self.voters()
 
-    def leader_silence(self, now: float) -> float:
+    def ms_since_leader_contact(self, now: float) -> float:
         """Time since the leader was heard of; 0 at a leader with a lease."""
         if self.role is Role.LEADER:
             return max(now - self._quorum_heard_at(now), 0.0)
-        return now - self.leader_heard_at
+        return now - self.leader_contact_at_ms
 
     def state_age(self, now: float) -> float:
         """Time since which something may have been acknowledged that the state here lacks; inf: any time."""
--- a/molespur/system/shards/group.py
+++ b/molespur/system/shards/group.py
@@ -87,9 +87,10 @@
 
     def log_lag(self, now: float) -> None:
         """Log that the replica lacks what its leader names as committed, where that lasts."""
-        applied, named = self.replica.log.applied_index, self.replica.named_commit_index
+        applied, named = self.replica.log.applied_index, self.replica.leader_commit_index
         if self.lag.due(now, applied, named):
             logging.warning(
                 "%s: lags: applied %d, log ends at %d, its leader names %d, heard %d ms ago",
-                self.name, applied, self.replica.log.last_index, named, self.replica.leader_silence(now),
+                self.name, applied, self.replica.log.last_index, named,
+                self.replica.ms_since_leader_contact(now),
             )  # fmt: skip
--- a/molespur/system/shards/host.py
+++ b/molespur/system/shards/host.py
@@ -155,7 +155,7 @@
         replica = self.groups[group].replica
         if (
             replica.role is not raft.Role.LEADER
-            and replica.leader_silence(self.clock()) > raft.MIN_ELECTION_TIMEOUT_MS
+            and replica.ms_since_leader_contact(self.clock()) > raft.MIN_ELECTION_TIMEOUT_MS
         ):
             return None
         return replica.member(replica.leader_id)
--- a/molespur/system/shards/lag.py
+++ b/molespur/system/shards/lag.py
@@ -11,9 +11,9 @@
         self._since: float | None = None  # when it was last level
         self._logged_at = float("-inf")
 
-    def due(self, now: float, applied_index: int, named_commit_index: int) -> bool:
+    def due(self, now: float, applied_index: int, leader_commit_index: int) -> bool:
         """Whether the replica has lagged for a while, and nothing was logged of it lately."""
-        if applied_index >= named_commit_index:
+        if applied_index >= leader_commit_index:
             self._since = None
             return False
         if self._since is None:
--- a/molespur/system/shards/membership.py
+++ b/molespur/system/shards/membership.py
@@ -37,7 +37,8 @@
         lost = [
             g.name
             for g in groups
-            if g.replica.leader_silence(now) > 2 * raft.MAX_ELECTION_TIMEOUT_MS and g.name not in outside
+            if g.replica.ms_since_leader_contact(now) > 2 * raft.MAX_ELECTION_TIMEOUT_MS
+            and g.name not in outside
         ]
         if outside or lost:
             request = pb.JoinRequest(member=self.host.self_member, groups=outside + lost)
--- a/tests/system/test_feed.py
+++ b/tests/system/test_feed.py
@@ -91,7 +91,7 @@
     plane.put(BODY % 1, 0)
     plane.lose_power()
     plane.host.groups[CONFIGURATION].replica._follow("")
-    plane.host.groups[CONFIGURATION].replica.leader_heard_at = plane.now - 60_000.0
+    plane.host.groups[CONFIGURATION].replica.leader_contact_at_ms = plane.now - 60_000.0
     source, pipe = source_of(plane), Pipe()
     plane.subscribe(source, pipe, pb.Subscribe(node="edge-1"))
     assert pipe.updates() == []
--- a/tests/system/test_many_changes.py
+++ b/tests/system/test_many_changes.py
@@ -203,7 +203,7 @@
     group.heal()
     group.run(6000)
     follower = group.processes[address].replica
-    assert follower.leader_silence(group.now) < raft.MIN_ELECTION_TIMEOUT_MS
+    assert follower.ms_since_leader_contact(group.now) < raft.MIN_ELECTION_TIMEOUT_MS
     assert group.leader() is leader
 
 
--- a/tests/system/test_state_age_of_replicas.py
+++ b/tests/system/test_state_age_of_replicas.py
@@ -73,7 +73,7 @@
     group.send = lambda sender, *rest: None if sender is deaf else sent(sender, *rest)
     began = group.now
     group.run(2000)
-    assert deaf.replica.leader_silence(group.now) < 200.0 and group.leader() is leader
+    assert deaf.replica.ms_since_leader_contact(group.now) < 200.0 and group.leader() is leader
     assert age(group, deaf) >= group.now - began
 
 
