--- a/molespur/system/shards/history.py
+++ b/molespur/system/shards/history.py
@@ -7,8 +7,8 @@
 from collections import deque
 from collections.abc import Iterator
 
-MOST_CHANGES = 256
-MOST_BYTES = 2 << 20
+MAX_CHANGES = 256
+MAX_BYTES = 2 << 20
 
 
 class ChangeHistory:
@@ -23,7 +23,7 @@
         """Keep one more change; the oldest give way, but for this one."""
         self._changes.append((index, payload))
         self._bytes += len(payload)
-        while len(self._changes) > 1 and (len(self._changes) > MOST_CHANGES or self._bytes > MOST_BYTES):
+        while len(self._changes) > 1 and (len(self._changes) > MAX_CHANGES or self._bytes > MAX_BYTES):
             self.since, dropped = self._changes.popleft()
             self._bytes -= len(dropped)
 
--- a/tests/system/test_feed_history.py
+++ b/tests/system/test_feed_history.py
@@ -12,7 +12,7 @@
 import pytest
 from control import OneControlPlane
 
-from molespur.system.shards.history import MOST_BYTES, MOST_CHANGES, ChangeHistory
+from molespur.system.shards.history import MAX_BYTES, MAX_CHANGES, ChangeHistory
 
 MEMORY_BYTES = 12 << 20  # what a control-plane process may take for its history, log and all
 
@@ -61,12 +61,12 @@
 
 def test_the_oldest_changes_give_way_by_number_and_by_bytes():
     history = ChangeHistory()
-    for index in range(1, MOST_CHANGES + 3):
+    for index in range(1, MAX_CHANGES + 3):
         history.append(index, b"x")
-    assert history.after(1) is None and len(list(history.after(2))) == MOST_CHANGES
-    history.append(1000, b"x" * MOST_BYTES)
+    assert history.after(1) is None and len(list(history.after(2))) == MAX_CHANGES
+    history.append(1000, b"x" * MAX_BYTES)
     assert [index for index, _ in history.after(999)] == [1000]
-    assert history.after(MOST_CHANGES + 1) is None, "one that is larger than the bound stands alone"
+    assert history.after(MAX_CHANGES + 1) is None, "one that is larger than the bound stands alone"
 
 
 def test_nothing_of_before_a_snapshot_is_kept():
