--- a/molespur/system/control_plane/role.py
+++ b/molespur/system/control_plane/role.py
@@ -149,7 +149,7 @@
             self._feed_heartbeat()
             return
         report = pb.MonitorReport(alive=self.schedulers.next_report(now))
-        self.host.tell_all(pb.Frame(monitor_report=report))
+        self.host.broadcast(pb.Frame(monitor_report=report))
 
     async def _repeat(self) -> None:
         """What is done again and again."""
--- a/molespur/system/shards/host.py
+++ b/molespur/system/shards/host.py
@@ -131,7 +131,7 @@
         """Hand the lead of a group over."""
         self.handle(group, raft.TransferLeadership())
 
-    def tell_all(self, frame: pb.Frame) -> None:
+    def broadcast(self, frame: pb.Frame) -> None:
         """Send a frame to every other control-plane process that is known."""
         for dialer in self.dialers.values():
             dialer.send(frame)
--- a/molespur/system/shards/leaving.py
+++ b/molespur/system/shards/leaving.py
@@ -41,7 +41,7 @@
         held = [name for name, group in self.host.groups.items() if self._held(name, group)]
         if held:
             request = pb.LeaveRequest(replica_id=self.host.replica_id, groups=held)
-            self.host.tell_all(pb.Frame(leave_request=request))
+            self.host.broadcast(pb.Frame(leave_request=request))
         return held
 
     def answered(self, reply: pb.LeaveReply) -> None:
--- a/molespur/system/shards/membership.py
+++ b/molespur/system/shards/membership.py
@@ -42,7 +42,7 @@
         ]
         if outside or lost:
             request = pb.JoinRequest(member=self.host.self_member, groups=outside + lost)
-            self.host.tell_all(pb.Frame(join=request))
+            self.host.broadcast(pb.Frame(join=request))
 
     def join_requested(self, request: pb.JoinRequest) -> None:
         """A replica that is in no membership asks to be taken in; it may not know who leads."""
