--- a/molespur/system/control_plane/calls.py
+++ b/molespur/system/control_plane/calls.py
@@ -69,7 +69,7 @@
             await self._at_owner(name, REMOVE_WORKER, worker)
 
     async def _at_owner(self, name: str, method: str, worker: pb.Worker) -> str:
-        if self.host.leads(name):
+        if self.host.is_leader(name):
             await self._own(name, method, worker)
             return self.host.self_member.control_address
         leader = self.host.leader(name)
@@ -110,7 +110,7 @@
             return self._known_schedulers().SerializeToString()
         if call.subject not in self.host.groups:
             raise FleetError(ErrorKind.MALFORMED, call.subject)
-        if not self.host.leads(call.subject):
+        if not self.host.is_leader(call.subject):
             raise FleetError(ErrorKind.NO_LEADER, call.subject)
         if call.method == LEADS:
             self._must_be_in_touch(call.subject)
@@ -134,7 +134,7 @@
 
         Raises FleetError where no leader confirms it.
         """
-        if self.host.leads(name):
+        if self.host.is_leader(name):
             return await self._confirmed_index(name)
         leader = self.host.leader(name)
         if leader is None:
@@ -197,7 +197,7 @@
         It has just said itself that it can commit: an operator that is led to a process that does not answer
         would wait there until its own time-out.  Raises FleetError where no process says so.
         """
-        if self.host.leads(CONFIGURATION):
+        if self.host.is_leader(CONFIGURATION):
             return None
         leader = self.host.leader(CONFIGURATION)
         if leader is None:
--- a/molespur/system/control_plane/role.py
+++ b/molespur/system/control_plane/role.py
@@ -105,7 +105,7 @@
         self.feed.lost(channel)
 
     def _role_changed(self, group: str) -> None:
-        if self.host.leads(group):
+        if self.host.is_leader(group):
             self.calls.became_owner(group)
             self.orders.became_owner(group)
 
--- a/molespur/system/shards/host.py
+++ b/molespur/system/shards/host.py
@@ -138,7 +138,7 @@
 
     # -- What others ask ---------------------------------------------------------------------------
 
-    def leads(self, group: str) -> bool:
+    def is_leader(self, group: str) -> bool:
         """Whether this process owns the group now."""
         return self.groups[group].replica.role is raft.Role.LEADER
 
--- a/molespur/system/shards/membership.py
+++ b/molespur/system/shards/membership.py
@@ -51,7 +51,7 @@
             group = self.host.groups.get(name)
             if group is None:
                 continue
-            if not self.host.leads(name):
+            if not self.host.is_leader(name):
                 self._forward_join(name, request)
                 continue
             membership = group.planner.admit(group.replica, request.member)
--- a/tests/system/virtual_fleet.py
+++ b/tests/system/virtual_fleet.py
@@ -425,7 +425,7 @@
         leading = [
             (process.plane.host.groups[group].replica.hard_state.term, address)
             for address, process in self.processes.items()
-            if process.up and not process.frozen and process.plane.host.leads(group)
+            if process.up and not process.frozen and process.plane.host.is_leader(group)
         ]
         return max(leading)[1] if leading else None
 
--- a/tests/system/wrong_process.py
+++ b/tests/system/wrong_process.py
@@ -147,7 +147,7 @@
     propose, numbers = host.ReplicaHost.propose, count(1)
 
     async def wrong(self, name, data):
-        if name == CONFIGURATION and self.leads(name) and next(numbers) > FORGETS_AFTER:
+        if name == CONFIGURATION and self.is_leader(name) and next(numbers) > FORGETS_AFTER:
             return PutOutcome.TAKEN
         return await propose(self, name, data)
 
