--- a/molespur/system/control_plane/calls.py
+++ b/molespur/system/control_plane/calls.py
@@ -71,7 +71,7 @@
     async def _at_owner(self, name: str, method: str, worker: pb.Worker) -> str:
         if self.host.is_leader(name):
             await self._own(name, method, worker)
-            return self.host.self_member.control_address
+            return self.host.local_member.control_address
         leader = self.host.leader(name)
         if leader is None:
             raise FleetError(ErrorKind.NO_LEADER, name)
--- a/molespur/system/shards/host.py
+++ b/molespur/system/shards/host.py
@@ -41,7 +41,7 @@
         self.on_role: Callable[[str], None] = lambda *_: None
         self.on_frame: Callable = lambda *_: None
         self.replica_id = self._identity(machines)
-        self.self_member = pb.Member(
+        self.local_member = pb.Member(
             replica_id=self.replica_id,
             rpc_address=settings.rpc_address,
             control_address=settings.listen.get("ControlPlane", ""),
--- a/molespur/system/shards/membership.py
+++ b/molespur/system/shards/membership.py
@@ -41,7 +41,7 @@
             and g.name not in outside
         ]
         if outside or lost:
-            request = pb.JoinRequest(member=self.host.self_member, groups=outside + lost)
+            request = pb.JoinRequest(member=self.host.local_member, groups=outside + lost)
             self.host.broadcast(pb.Frame(join=request))
 
     def join_requested(self, request: pb.JoinRequest) -> None:
