--- a/molespur/system/control_plane/role.py
+++ b/molespur/system/control_plane/role.py
@@ -114,7 +114,7 @@
             case "consensus":
                 self.host.receive(frame.consensus)
             case "join":
-                self.host.membership.join_requested(frame.join)
+                self.host.membership.handle_join_request(frame.join)
             case "subscribe":
                 channel.label = frame.subscribe.node
                 self.feed.subscribe(channel, frame.subscribe)
@@ -134,7 +134,7 @@
             case "ping":
                 channel.send(pb.Frame(pong=self.feed.pong(channel, frame.ping)))
             case "leave_request":
-                reply = self.host.membership.leave_requested(frame.leave_request)
+                reply = self.host.membership.handle_leave_request(frame.leave_request)
                 if reply.groups:
                     channel.send(pb.Frame(leave_reply=reply))
             case "leave_reply":
--- a/molespur/system/shards/membership.py
+++ b/molespur/system/shards/membership.py
@@ -44,7 +44,7 @@
             request = pb.JoinRequest(member=self.host.local_member, groups=outside + lost)
             self.host.broadcast(pb.Frame(join=request))
 
-    def join_requested(self, request: pb.JoinRequest) -> None:
+    def handle_join_request(self, request: pb.JoinRequest) -> None:
         """A replica that is in no membership asks to be taken in; it may not know who leads."""
         self.host.dial(request.member.rpc_address)
         for name in request.groups:
@@ -65,7 +65,7 @@
             forwarded = pb.JoinRequest(member=request.member, groups=[name], forwarded=True)
             dialer.send(pb.Frame(join=forwarded))
 
-    def leave_requested(self, request: pb.LeaveRequest) -> pb.LeaveReply:
+    def handle_leave_request(self, request: pb.LeaveRequest) -> pb.LeaveReply:
         """A replica's process was told to stop: the groups led here that need it no longer."""
         released = []
         for name in request.groups:
