--- a/molespur/system/storage/store.py
+++ b/molespur/system/storage/store.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True)
-class Loaded:
+class StoredGroup:
     """What the disk holds of one replica group."""
 
     hard_state: HardState
@@ -62,7 +62,7 @@
         rows = self.connection.execute("select grp from snapshots union select grp from hard_state")
         return [row[0] for row in rows]
 
-    def load(self, group: str) -> Loaded:
+    def load(self, group: str) -> StoredGroup:
         """All that is kept of a group."""
         row = self.connection.execute("select term, vote from hard_state where grp = ?", (group,)).fetchone()
         hard_state = HardState(*row) if row else HardState()
@@ -75,7 +75,7 @@
             (group, snapshot.index),
         )
         entries = [pb.LogEntry(index=i, term=t, kind=k, data=d) for i, t, k, d in rows]
-        return Loaded(hard_state, snapshot, entries)
+        return StoredGroup(hard_state, snapshot, entries)
 
     def write(self, records: Iterable[tuple[str, Persist]]) -> None:
         """Write records of several groups in one transaction; they are on the disk when this returns."""
--- a/tests/system/virtual_fleet.py
+++ b/tests/system/virtual_fleet.py
@@ -18,7 +18,7 @@
 from molespur.system.settings.process import FaultTolerance, ProcessSettings
 from molespur.system.shards import host
 from molespur.system.shards.placement import CONFIGURATION
-from molespur.system.storage.store import Loaded
+from molespur.system.storage.store import StoredGroup
 
 SYNC_S = 0.02
 DISK_RETRY_S = 0.2
@@ -67,7 +67,7 @@
     def load(self, group):
         state, snapshot, entries = self.groups.get(group, (role_states()[0], role_states()[1], {}))
         kept = [entries[index] for index in sorted(entries) if index > snapshot.index]
-        return Loaded(type(state)(state.term, state.vote), snapshot, kept)
+        return StoredGroup(type(state)(state.term, state.vote), snapshot, kept)
 
     def write(self, records):
         for group, record in records:
