--- a/molespur/system/control_plane/role.py
+++ b/molespur/system/control_plane/role.py
@@ -70,7 +70,7 @@
         watch = SettingsWatch(self.host.reseed)
         ended = asyncio.Event()
         repeated = (self.host.run(), self._repeat(), watch.run())
-        self.host.start(DiskWriter(self.host.store, self.host.written))
+        self.host.set_writer(DiskWriter(self.host.store, self.host.handle_written))
         listener = await loop.create_server(self._accept, self.settings.local_ip, self.settings.rpc_port)
         served = asyncio.Event()
         http = loop.create_task(self._serve(served))
--- a/molespur/system/shards/host.py
+++ b/molespur/system/shards/host.py
@@ -100,14 +100,14 @@
         for address in self.settings.seed_rpc_addresses():
             self.dial(address)
         while True:
-            self.step()
+            self.tick()
             await asyncio.sleep(TICK_S)
 
-    def start(self, writer) -> None:
+    def set_writer(self, writer) -> None:
         """Write to the disk with this writer from now on."""
         self.writer = writer
 
-    def step(self) -> None:
+    def tick(self) -> None:
         """What is due now, in every group."""
         now = self.clock()
         for group in self.groups.values():
@@ -263,7 +263,7 @@
         if compaction is not None:  # after all other actions, whose records come before it
             self.handle(group, compaction)
 
-    def written(self, name: str, record: raft.Persist) -> None:
+    def handle_written(self, name: str, record: raft.Persist) -> None:
         """A record is on the disk."""
         group = self.groups[name]
         self._carry_out(group, record.release)
--- a/tests/system/control.py
+++ b/tests/system/control.py
@@ -37,7 +37,7 @@
 
     def write(self, group, record):
         self.host.store.write([(group, record)])
-        self.host.written(group, record)
+        self.host.handle_written(group, record)
 
     def stop(self):
         pass
@@ -64,7 +64,7 @@
         machines = {CONFIGURATION: ConfigurationMachine()}
         machines.update({name: WorkerDirectory() for name in WORKER_GROUPS})
         self.host = ReplicaHost(settings, Store(self.folder), machines, lambda: self.now, Random(1))
-        self.host.start(InlineWriter(self.host))
+        self.host.set_writer(InlineWriter(self.host))
         self.calls = ControlCalls(
             self.host, PeerCalls(self.host.dialers.get), lambda: self.now, 1000.0, SchedulerMonitor()
         )
@@ -104,7 +104,7 @@
         until = self.now + ms
         while self.now < until:
             self.now += 50.0
-            self.host.step()
+            self.host.tick()
 
     def lose_power(self):
         """The process ends without a word; its disk stays."""
--- a/tests/system/virtual_fleet.py
+++ b/tests/system/virtual_fleet.py
@@ -130,7 +130,7 @@
         if self.waiting:
             self._begin()
         for group, record in batch:
-            self.process.plane.host.written(group, record)
+            self.process.plane.host.handle_written(group, record)
 
     def power_lost(self):
         """The batch that was being written may have reached the disk, though nobody was told."""
@@ -216,7 +216,7 @@
         self.plane = role.ControlPlane(settings)
         self.plane.host.dial = self._dial
         self.writer = Writer(fleet, self)
-        self.plane.host.start(self.writer)
+        self.plane.host.set_writer(self.writer)
         self.client = create_app(self.plane.calls, self.plane.metrics).test_client()
         self._run()
 
