--- a/molespur/system/control_plane/role.py
+++ b/molespur/system/control_plane/role.py
@@ -54,7 +54,7 @@
         self.announcements = AnnouncementSchedule()
         self.host.on_change = self.feed.changed
         self.host.on_restore = self.feed.restored
-        self.host.on_role = self._role_changed
+        self.host.on_role_change = self._role_changed
         self.host.on_frame = self._frame
         self._tasks: set[asyncio.Task] = set()
 
--- a/molespur/system/shards/host.py
+++ b/molespur/system/shards/host.py
@@ -38,7 +38,7 @@
         self.dialers: dict[str, Dialer] = {}
         self.on_change: Callable[[str, int, bytes], None] = lambda *_: None
         self.on_restore: Callable[[str], None] = lambda *_: None
-        self.on_role: Callable[[str], None] = lambda *_: None
+        self.on_role_change: Callable[[str], None] = lambda *_: None
         self.on_frame: Callable = lambda *_: None
         self.replica_id = self._identity(machines)
         self.local_member = pb.Member(
@@ -258,7 +258,7 @@
                     )
                     if role is not raft.Role.LEADER:
                         group.fail_waiters()
-                    self.on_role(group.name)
+                    self.on_role_change(group.name)
         compaction = group.take_compaction()
         if compaction is not None:  # after all other actions, whose records come before it
             self.handle(group, compaction)
--- a/tests/system/control.py
+++ b/tests/system/control.py
@@ -68,7 +68,7 @@
         self.calls = ControlCalls(
             self.host, PeerCalls(self.host.dialers.get), lambda: self.now, 1000.0, SchedulerMonitor()
         )
-        self.host.on_role = lambda group: self.host.is_leader(group) and self.calls.became_owner(group)
+        self.host.on_role_change = lambda group: self.host.is_leader(group) and self.calls.became_owner(group)
         self.client = create_app(self.calls, self.metrics).test_client()
         self.told = []
         self.host.on_change = lambda group, index, payload: self.told.append((group, index, payload))
