--- a/molespur/system/control_plane/calls.py
+++ b/molespur/system/control_plane/calls.py
@@ -51,7 +51,7 @@
     ):
         self.host, self.peers, self.clock, self.schedulers = host, peers, clock, schedulers
         self.liveness = {
-            name: WorkerLiveness(host.groups[name].machine, interval_ms) for name in WORKER_GROUPS
+            name: WorkerLiveness(host.groups[name].state_machine, interval_ms) for name in WORKER_GROUPS
         }
 
     # -- Workers -----------------------------------------------------------------------------------
@@ -63,7 +63,7 @@
 
     async def remove(self, worker_id: str) -> None:
         """Take a goodbye.  Raises FleetError."""
-        names = [n for n in WORKER_GROUPS if worker_id in self.host.groups[n].machine.workers]
+        names = [n for n in WORKER_GROUPS if worker_id in self.host.groups[n].state_machine.workers]
         worker = pb.Worker(id=worker_id, state=pb.GONE, deregistered=True)
         for name in names or WORKER_GROUPS:
             await self._at_owner(name, REMOVE_WORKER, worker)
@@ -85,7 +85,7 @@
         if not self.host.has_lease(name):
             raise FleetError(ErrorKind.NO_LEADER, name)
         if method == REMOVE_WORKER:
-            directory = self.host.groups[name].machine
+            directory = self.host.groups[name].state_machine
             if worker.id in directory.workers or worker.id not in directory.removed:
                 await self.host.propose(name, pb.WorkerCommand(workers=[worker]).SerializeToString())
             return
@@ -126,7 +126,7 @@
     def _known_schedulers(self) -> pb.SchedulerList:
         """Which schedulers this process knows of, and what configuration each one has."""
         known = pb.SchedulerList(schedulers=self.schedulers.heard_lately(self.clock()))
-        known.configuration_version = self.host.groups[CONFIGURATION].machine.version
+        known.configuration_version = self.host.groups[CONFIGURATION].state_machine.version
         return known
 
     async def read_barrier(self, name: str) -> int:
@@ -174,7 +174,7 @@
         """Put a configuration in force, at the owner of its shard.  Raises FleetError."""
         parsed = configuration.parse(body)
         digest = hashlib.sha256(b"%d\n" % base_version + body).digest()[:16]
-        machine = self.host.groups[CONFIGURATION].machine
+        machine = self.host.groups[CONFIGURATION].state_machine
         command = pb.PutConfiguration(
             version=parsed.version, base_version=base_version, digest=digest, body=body
         )
--- a/molespur/system/control_plane/figures.py
+++ b/molespur/system/control_plane/figures.py
@@ -25,7 +25,7 @@
     workers = Counter(
         (worker.service, pb.WorkerState.Name(worker.state).lower())
         for name in WORKER_GROUPS
-        for worker in host.groups[name].machine.workers.values()
+        for worker in host.groups[name].state_machine.workers.values()
     )
     return [
         _by_shard(host, "shard_leader", "1 where this process leads the shard.",
@@ -45,7 +45,7 @@
         _by_shard(host, "shard_state_age_ms", "Time since which the state here may lack something, ms.",
                   lambda group: min(group.replica.state_age(now), 1e9)),
         gauge("configuration_version", "Newest version that is known here; 0 before the first.",
-              host.groups[CONFIGURATION].machine.version),
+              host.groups[CONFIGURATION].state_machine.version),
         Metric("workers", MetricKind.GAUGE, "Workers by service and state.", ("service", "state"),
                dict(workers)),
         gauge("schedulers", "Schedulers heard of lately by any monitor.", len(schedulers.alive(now))),
--- a/molespur/system/control_plane/orders.py
+++ b/molespur/system/control_plane/orders.py
@@ -72,7 +72,7 @@
             # read while the lead is certain: a later term belongs to another owner
             fence = self.host.groups[group].replica.hard_state.term
             services: dict[str, list[pb.Worker]] = {}
-            for worker in self.host.groups[group].machine.workers.values():
+            for worker in self.host.groups[group].state_machine.workers.values():
                 if worker.phase:
                     services.setdefault(worker.service, []).append(worker)
             for service, workers in services.items():
@@ -170,7 +170,7 @@
 
     def _switch_s(self, service: str) -> float:
         """How long a worker of a service takes to change its part, by the configuration."""
-        body = self.host.groups[CONFIGURATION].machine.body
+        body = self.host.groups[CONFIGURATION].state_machine.body
         try:
             services = configuration.parse(body).services
         except FleetError:
--- a/molespur/system/feed/source.py
+++ b/molespur/system/feed/source.py
@@ -104,7 +104,7 @@
             changes = None if since is None else group.history.after(since)
             if changes is None:
                 index = group.replica.log.applied_index
-                self._send(follower, name, index, group.machine.feed_snapshot(), snapshot=True)
+                self._send(follower, name, index, group.state_machine.feed_snapshot(), snapshot=True)
                 continue
             for index, payload in changes:
                 self._send(follower, name, index, payload)
--- a/molespur/system/shards/group.py
+++ b/molespur/system/shards/group.py
@@ -29,7 +29,7 @@
 
     name: str
     replica: raft.Replica
-    machine: object  # provides IStateMachine
+    state_machine: object  # provides IStateMachine
     planner: MembershipPlanner
     history: ChangeHistory
     waiters: dict[int, Waiter] = field(default_factory=dict)
@@ -47,12 +47,12 @@
         waiter = self.waiters.pop(entry.index, None)
         result = None
         if entry.kind == pb.COMMAND:
-            result, payload = self.machine.apply(entry.data)
+            result, payload = self.state_machine.apply(entry.data)
             if payload is not None:
                 self.history.append(entry.index, payload)
                 on_change(self.name, entry.index, payload)
-        if self.schedule.applied(entry.index, len(entry.data), self.machine.size):
-            self._compaction = raft.Compact(entry.index, self.machine.snapshot())
+        if self.schedule.applied(entry.index, len(entry.data), self.state_machine.size):
+            self._compaction = raft.Compact(entry.index, self.state_machine.snapshot())
         if waiter is None or waiter.outcome.done():
             return
         if waiter.term == entry.term:
@@ -62,7 +62,7 @@
 
     def restore(self, snapshot: raft.Snapshot) -> None:
         """Go by a snapshot in place of the state."""
-        self.machine.restore(snapshot.state)
+        self.state_machine.restore(snapshot.state)
         self.history.restart(snapshot.index)
         self.schedule.restored()
         self._compaction = None
--- a/molespur/system/shards/host.py
+++ b/molespur/system/shards/host.py
@@ -211,7 +211,7 @@
             del group.reads[number]
         if not confirmed:
             raise FleetError(ErrorKind.NO_LEADER, name)
-        return group.machine
+        return group.state_machine
 
     def receive(self, message: pb.ConsensusMessage) -> None:
         """Take a message of another replica, if it is for the identity of this disk."""
--- a/tests/system/features/steps/control_steps.py
+++ b/tests/system/features/steps/control_steps.py
@@ -118,7 +118,7 @@
 
 def known(context, worker):
     for group in WORKER_GROUPS:
-        found = context.plane.host.groups[group].machine.workers.get(worker)
+        found = context.plane.host.groups[group].state_machine.workers.get(worker)
         if found is not None:
             return STATES[found.state]
     return "unknown"
--- a/tests/system/test_cut_off_control.py
+++ b/tests/system/test_cut_off_control.py
@@ -170,7 +170,7 @@
         assert newest.version > before
         answer = await fleet.ask("GET", "/api/config", tries=40)
         fleet.checker.check(answer[1])
-        own = fleet.processes[address].plane.host.groups[CONFIGURATION].machine
+        own = fleet.processes[address].plane.host.groups[CONFIGURATION].state_machine
         assert own.version >= newest.version
         if way in ("all", "core", "outgoing", "incoming"):
             assert set(prober.said) <= {503, 307} and prober.said, prober.said
--- a/tests/system/test_liveness_contact.py
+++ b/tests/system/test_liveness_contact.py
@@ -90,7 +90,9 @@
     del plane.host.has_lease
     plane.now += 900.0
     plane.silence()
-    states = [w.state for name in WORKER_GROUPS for w in plane.host.groups[name].machine.workers.values()]
+    states = [
+        w.state for name in WORKER_GROUPS for w in plane.host.groups[name].state_machine.workers.values()
+    ]
     assert states == [pb.READY]
 
 
--- a/tests/system/test_many_changes.py
+++ b/tests/system/test_many_changes.py
@@ -277,7 +277,7 @@
             assert fleet.loop.time() - began < 12.0
         await asyncio.sleep(0.5)
         host = fleet.processes[away].plane.host
-        assert host.groups[CONFIGURATION].machine.version == 301
+        assert host.groups[CONFIGURATION].state_machine.version == 301
         answer = await fleet.ask("GET", "/api/config", tries=40)
         fleet.checker.check(answer[1])
         fleet.restart(leader)
--- a/tests/system/test_orders.py
+++ b/tests/system/test_orders.py
@@ -58,7 +58,7 @@
 
 
 def register(plane, address):
-    directory = plane.host.groups[GROUP].machine
+    directory = plane.host.groups[GROUP].state_machine
     workers = [
         pb.Worker(id=f"w-{n}", service=SERVICE, address=address, zone="a", phase="decode", capacity=64)
         for n in range(6)
--- a/tests/system/wrong_process.py
+++ b/tests/system/wrong_process.py
@@ -120,7 +120,7 @@
         return None
 
     async def wrong(self):
-        machine = self.host.groups[CONFIGURATION].machine
+        machine = self.host.groups[CONFIGURATION].state_machine
         return machine.body if machine.version else None
 
     calls.ControlCalls.configuration_owner = owner
