--- a/tests/system/operator_history.py
+++ b/tests/system/operator_history.py
@@ -66,7 +66,7 @@
 
     def __init__(self, seed, machine=ConfigurationMachine):
         self.random = Random(seed)
-        self.group = VirtualGroup(seed, loss=0.02, machine=lambda: ConfigurationReplica(machine))
+        self.group = VirtualGroup(seed, loss=0.02, state_machine=lambda: ConfigurationReplica(machine))
         self.history: list[Put | Get] = []
         self.met: Counter = Counter()
         self.changes: list[Change] = []
@@ -177,7 +177,7 @@
         if process.address in self.group.frozen:
             return
         process.on_read[number] = lambda: self.history.append(
-            Get(process.machine.current, start, self.group.now)
+            Get(process.state_machine.current, start, self.group.now)
         )
         process.handle(raft.Read(number))
 
--- a/tests/system/test_consensus.py
+++ b/tests/system/test_consensus.py
@@ -12,7 +12,7 @@
 
 
 def commands(group):
-    return {a: p.machine.commands for a, p in group.processes.items() if a not in group.down}
+    return {a: p.state_machine.commands for a, p in group.processes.items() if a not in group.down}
 
 
 def settled(group, wanted):
@@ -110,7 +110,7 @@
             group.run(12)
             if group.acknowledged(proposed):
                 break
-        assert b"new" not in old.machine.commands
+        assert b"new" not in old.state_machine.commands
         stale_reads += old.replica.has_lease(group.now)
         old.handle(raft.Read(number))
         group.run(5000)
--- a/tests/system/test_many_changes.py
+++ b/tests/system/test_many_changes.py
@@ -52,12 +52,12 @@
         group.wipe(address)
     began = group.now
     process = group.processes[address]
-    commands = group.leader().machine.commands
-    while process.machine.commands != commands:
+    commands = group.leader().state_machine.commands
+    while process.state_machine.commands != commands:
         assert process.replica.role is not raft.Role.LEADER, "it leads before it has all"
         group.run(10)
-        assert group.now - began < CATCH_UP_MS, len(process.machine.commands)
-    state = len(group.leader().machine.snapshot())
+        assert group.now - began < CATCH_UP_MS, len(process.state_machine.commands)
+    state = len(group.leader().state_machine.snapshot())
     assert group.sent_bytes < 3 * state + 100_000
 
 
@@ -72,7 +72,7 @@
     propose_many(group, behind, b"missed")
     group.heal()
     group.run(CATCH_UP_MS)
-    assert group.processes[address].machine.commands == group.leader().machine.commands
+    assert group.processes[address].state_machine.commands == group.leader().state_machine.commands
 
 
 def test_a_conflict_of_many_entries_is_found_in_a_step_for_each_term():
@@ -100,8 +100,8 @@
     group._arrive = counted
     group.heal()
     group.run(CATCH_UP_MS)
-    assert old.machine.commands == group.leader().machine.commands
-    assert b"kept0" in old.machine.commands and old.replica.log.snapshot.index == 1
+    assert old.state_machine.commands == group.leader().state_machine.commands
+    assert b"kept0" in old.state_machine.commands and old.replica.log.snapshot.index == 1
     assert 1 <= len(rejections) <= 6, rejections
 
 
@@ -121,7 +121,7 @@
     group.heal()
     group.run(CATCH_UP_MS)
     for process in group.processes.values():
-        assert process.machine.commands == [b"kept%d" % number for number in range(8)]
+        assert process.state_machine.commands == [b"kept%d" % number for number in range(8)]
 
 
 def large_state(group, pieces):
@@ -161,7 +161,7 @@
     group._arrive = lossy
     group.heal()
     group.run(5000)
-    assert group.processes[address].machine.commands == group.leader().machine.commands
+    assert group.processes[address].state_machine.commands == group.leader().state_machine.commands
     repeated = len(offsets) - len(set(offsets))
     assert len(set(offsets)) >= 6 and repeated <= 2, offsets
 
@@ -186,7 +186,7 @@
     group.heal()
     group.run(6000)
     assert group.leader().address != first_leader.address
-    assert group.processes[address].machine.commands == group.leader().machine.commands
+    assert group.processes[address].state_machine.commands == group.leader().state_machine.commands
     second = [(index, offset) for sender, index, offset in offsets if sender != first_leader.address]
     assert second and second[0][0] == offsets[0][1], "the same snapshot"
     assert sorted({offset for _, offset in second})[1] >= 3 * PIECE_BYTES, "only its first piece is sent anew"
--- a/tests/system/test_snapshots_across_leaders.py
+++ b/tests/system/test_snapshots_across_leaders.py
@@ -84,10 +84,10 @@
     group._arrive = watched
     group.heal()
     group.run(12_000)
-    assert group.processes[away].machine.commands == group.leader().machine.commands
+    assert group.processes[away].state_machine.commands == group.leader().state_machine.commands
     leaders = sum(one != other for one, other in pairwise(senders))
     assert leaders >= LEADER_CHANGES
-    state = len(group.leader().machine.snapshot())
+    state = len(group.leader().state_machine.snapshot())
     least = -(-state // PIECE_BYTES)
     assert len(senders) <= least + LEADER_CHANGES, (len(senders), least, leaders)
 
--- a/tests/system/virtual_group.py
+++ b/tests/system/virtual_group.py
@@ -36,7 +36,7 @@
         return [self.entries[i] for i in sorted(self.entries) if i > self.snapshot.index]
 
 
-class Machine:
+class CommandList:
     """A state machine that keeps the commands in order."""
 
     def __init__(self):
@@ -57,8 +57,8 @@
 
     def __init__(self, group, address, disk):
         self.group, self.address, self.disk = group, address, disk
-        self.machine = group.machine()
-        self.machine.restore(disk.snapshot.state)
+        self.state_machine = group.make_state_machine()
+        self.state_machine.restore(disk.snapshot.state)
         hard_state = raft.HardState(disk.hard_state.term, disk.hard_state.vote)
         self.replica = raft.Replica(
             GROUP,
@@ -86,19 +86,19 @@
                     self.apply(entry)
                     self.group.applied(entry)
                 case raft.Restore(snapshot):
-                    self.machine.restore(snapshot.state)
+                    self.state_machine.restore(snapshot.state)
                 case raft.ReadConfirmed(number):
                     if number in self.on_read:
                         self.on_read.pop(number)()
                     else:
-                        self.reads[number] = list(self.machine.commands)
+                        self.reads[number] = list(self.state_machine.commands)
                 case raft.ReadRefused(number):
                     self.on_read.pop(number, None)
                     self.reads[number] = None
         return actions
 
     def apply(self, entry):
-        outcome = self.machine.apply(entry.data) if entry.kind == pb.COMMAND else None
+        outcome = self.state_machine.apply(entry.data) if entry.kind == pb.COMMAND else None
         term, told = self.waiters.pop(entry.index, (0, None))
         if told is not None and term == entry.term:
             told(outcome)
@@ -110,7 +110,7 @@
             if membership is not None:
                 self.handle(raft.ChangeMembership(membership))
         if self.replica.log.applied_index - self.replica.log.snapshot.index > self.group.compact_after:
-            self.handle(raft.Compact(self.replica.log.applied_index, self.machine.snapshot()))
+            self.handle(raft.Compact(self.replica.log.applied_index, self.state_machine.snapshot()))
         if self.replica.member(self.replica.id) is None:
             self.group.ask_to_join(self)
 
@@ -118,8 +118,8 @@
 class VirtualGroup:
     """Processes, the network between them, and what was committed where."""
 
-    def __init__(self, seed, count=3, loss=0.0, sync_ms=5.0, machine=Machine):
-        self.machine, self.compact_after = machine, 8
+    def __init__(self, seed, count=3, loss=0.0, sync_ms=5.0, state_machine=CommandList):
+        self.make_state_machine, self.compact_after = state_machine, 8
         self.random, self.now, self.loss, self.sync_ms = Random(seed), 0.0, loss, sync_ms
         self.queue, self.serial = [], 0
         self.cut, self.down, self.processes = set(), set(), {}
