--- a/tests/system/operator_history.py
+++ b/tests/system/operator_history.py
@@ -144,7 +144,7 @@
         if proposed:
             lost = self.random.random() < 0.25
             process.waiters[proposed.index] = (proposed.term, lambda said: self._answered(put, said, lost))
-        self.group.at(RETRY_MS if not proposed else PROPOSAL_MS, self._try, put, tries + 1)
+        self.group.schedule(RETRY_MS if not proposed else PROPOSAL_MS, self._try, put, tries + 1)
 
     def _answered(self, put, outcome, lost):
         if lost:
@@ -190,7 +190,7 @@
         self.group.run(self.random.choice((0, 2, 6, 15)))  # between a proposal and its answer
         if kind == "cut":
             self.group.isolate(one)
-            self.group.at(self.random.choice((400, 2500)), self.group.heal)
+            self.group.schedule(self.random.choice((400, 2500)), self.group.heal)
             return
         if kind == "freeze":
             self.group.freeze(one, self.random.choice((300, 900, 2500)))
@@ -199,12 +199,12 @@
             if address not in self.group.down:
                 self.group.kill(address)
                 back = self.group.wipe if kind == "wipe" and not self._others_down(one) else self._restart
-                self.group.at(self.random.choice((200, 1500)), back, address)
+                self.group.schedule(self.random.choice((200, 1500)), back, address)
 
     def _others_down(self, address):
         """Whether another disk is not to be lost now: another one is down, or was wiped not long ago."""
         recent = self.group.now - getattr(self, "_wiped_at", -1e9) < 6000
-        if not recent and not self.group.down - {address} and not self.group.cut:
+        if not recent and not self.group.down - {address} and not self.group.cut_links:
             self._wiped_at = self.group.now
             return False
         return True
--- a/tests/system/test_consensus.py
+++ b/tests/system/test_consensus.py
@@ -296,7 +296,7 @@
             case "restart":
                 for down in sorted(group.down):
                     group.restart(down)
-            case "wipe" if group.now - wiped_at > 15_000 and not group.down and not group.cut:
+            case "wipe" if group.now - wiped_at > 15_000 and not group.down and not group.cut_links:
                 voters = [
                     p.replica.is_voter() and len(p.replica.voters()) == 3 for p in group.processes.values()
                 ]
--- a/tests/system/test_snapshots_across_leaders.py
+++ b/tests/system/test_snapshots_across_leaders.py
@@ -77,7 +77,7 @@
             senders.append(sender)
             if changes < LEADER_CHANGES and senders.count(sender) > most_of_a_leader * (1 + changes // 2):
                 changes += 1
-                group.at(0.0, group.processes[sender].handle, raft.TransferLeadership())
+                group.schedule(0.0, group.processes[sender].handle, raft.TransferLeadership())
                 return  # the last piece of this leader is lost with its lead
         arrive(sender, receiver, message)
 
--- a/tests/system/test_state_age_of_replicas.py
+++ b/tests/system/test_state_age_of_replicas.py
@@ -81,11 +81,11 @@
     group = settled()
     leader = group.leader()
     for other in followers(group):
-        group.cut.add(frozenset((leader.address, other.address)))
+        group.cut_links.add(frozenset((leader.address, other.address)))
     began = group.now
     group.run(1000)
     assert age(group, leader) >= group.now - began
-    group.cut.clear()
+    group.cut_links.clear()
     group.run(2500)
     assert age(group, leader) <= CALM_MS
 
@@ -156,12 +156,12 @@
                 if leader.replica.log.commit_index >= index and group.leader() is leader:
                     acknowledged.append((group.now, index))
             if step % 9 == 4:
-                group.cut.clear()
+                group.cut_links.clear()
                 for other in group.processes:
                     if leader is not None and other != leader.address:
-                        group.cut.add(frozenset((leader.address, other)))
+                        group.cut_links.add(frozenset((leader.address, other)))
             if step % 9 == 8:
-                group.cut.clear()
+                group.cut_links.clear()
             group.run(30)
             for process in group.processes.values():
                 certain = process.replica.age.confirmed_at
--- a/tests/system/virtual_group.py
+++ b/tests/system/virtual_group.py
@@ -122,7 +122,7 @@
         self.make_state_machine, self.compact_after = state_machine, 8
         self.random, self.now, self.loss, self.sync_ms = Random(seed), 0.0, loss, sync_ms
         self.queue, self.serial = [], 0
-        self.cut, self.down, self.processes = set(), set(), {}
+        self.cut_links, self.down, self.processes = set(), set(), {}
         self.frozen = {}  # address -> what has come for it since, as (call, arguments)
         self.committed, self.sent_bytes = {}, 0
         addresses = [f"10.0.0.{n}:1" for n in range(1, count + 1)]
@@ -139,14 +139,14 @@
     def start(self, address, disk):
         self.down.discard(address)
         process = self.processes[address] = Process(self, address, disk)
-        self.at(self.random.random() * TICK_MS, self._tick, process)
+        self.schedule(self.random.random() * TICK_MS, self._tick, process)
         return process
 
     def _tick(self, process):
         if self.processes.get(process.address) is process and process.address not in self.down:
             if process.address not in self.frozen:
                 process.tick()
-            self.at(TICK_MS, self._tick, process)
+            self.schedule(TICK_MS, self._tick, process)
 
     def kill(self, address):
         """Power goes: what was not synced is lost, and all that is on its way to it."""
@@ -157,7 +157,7 @@
         """The process stands still; what comes meanwhile waits in its sockets, and is read first."""
         if address not in self.frozen:
             self.frozen[address] = []
-            self.at(ms, self._thaw, address)
+            self.schedule(ms, self._thaw, address)
 
     def _thaw(self, address):
         for call, arguments in self.frozen.pop(address, ()):
@@ -180,7 +180,7 @@
 
     # -- Time and network ----------------------------------------------------------------------
 
-    def at(self, delay, call, *arguments):
+    def schedule(self, delay, call, *arguments):
         self.serial += 1
         heappush(self.queue, (self.now + delay, self.serial, call, arguments))
 
@@ -198,11 +198,11 @@
         data = message.SerializeToString()
         self.sent_bytes += len(data)
         copy = pb.ConsensusMessage.FromString(data)
-        self.at(1.0 + 4.0 * self.random.random(), self._arrive, sender.address, receiver, copy)
+        self.schedule(1.0 + 4.0 * self.random.random(), self._arrive, sender.address, receiver, copy)
 
     def _arrive(self, sender, receiver, message):
         process = self.processes.get(receiver)
-        cut = frozenset((sender, receiver)) in self.cut
+        cut = frozenset((sender, receiver)) in self.cut_links
         if process and receiver not in self.down and not cut and message.receiver == process.replica.id:
             self.when_awake(receiver, self._take, process, message)
 
@@ -219,7 +219,7 @@
             list(record.release),
             record.sequence,
         )
-        self.at(self.sync_ms, self._written, process, copy)
+        self.schedule(self.sync_ms, self._written, process, copy)
 
     def _written(self, process, record):
         if self.processes.get(process.address) is not process or process.address in self.down:
@@ -236,7 +236,9 @@
 
     def ask_to_join(self, process):
         for other in self.processes.values():
-            apart = other.address in self.down or frozenset((other.address, process.address)) in self.cut
+            apart = (
+                other.address in self.down or frozenset((other.address, process.address)) in self.cut_links
+            )
             if other.replica.role is raft.Role.LEADER and not apart:
                 member = pb.Member(replica_id=process.replica.id, rpc_address=process.address)
                 membership = other.planner.admit(other.replica, member)
@@ -271,7 +273,7 @@
         return proposed is not None and self.committed.get(proposed.index, (None,))[0] == proposed.term
 
     def isolate(self, address):
-        self.cut |= {frozenset((address, other)) for other in self.processes if other != address}
+        self.cut_links |= {frozenset((address, other)) for other in self.processes if other != address}
 
     def heal(self):
-        self.cut.clear()
+        self.cut_links.clear()
