--- a/benchmarks/hedging.py
+++ b/benchmarks/hedging.py
@@ -262,7 +262,7 @@
         options.shared.install()
     for name in ATTEMPTS:
         for load in LOADS:
-            tally = run_virtual(play(name, load, options), longest_s=600.0)
+            tally = run_virtual(play(name, load, options), max_virtual_s=600.0)
             print(json.dumps(asdict(tally)) if options.json else tally, flush=True)
 
 
--- a/tests/system/virtual_time.py
+++ b/tests/system/virtual_time.py
@@ -44,11 +44,11 @@
     return asyncio.get_running_loop().time() * 1000.0
 
 
-def run_virtual(coroutine, longest_s=120.0):
-    """Run a test's coroutine on a loop of its own; `longest_s` of the loop's time is its bound."""
+def run_virtual(coroutine, max_virtual_s=120.0):
+    """Run a test's coroutine on a loop of its own; `max_virtual_s` of the loop's time is its bound."""
 
     async def bounded():
-        async with asyncio.timeout(longest_s):
+        async with asyncio.timeout(max_virtual_s):
             return await coroutine
 
     with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
