--- a/molespur/system/control_plane/role.py
+++ b/molespur/system/control_plane/role.py
@@ -14,7 +14,7 @@
 from ..rpc.channel import Channel
 from ..rpc.peer_calls import PeerCalls
 from ..settings.process import ProcessSettings
-from ..shards.configuration import ConfigurationMachine
+from ..shards.configuration import ConfigurationStateMachine
 from ..shards.host import ReplicaHost
 from ..shards.placement import CONFIGURATION, WORKER_GROUPS
 from ..signals import SettingsWatch, imported, unexpected_end, until_stop, wait_for_stop
@@ -40,7 +40,7 @@
     def __init__(self, settings: ProcessSettings):
         self.settings = settings
         store = Store(settings.data_directory or "/tmp/molespur-control")
-        machines = {CONFIGURATION: ConfigurationMachine()}
+        machines = {CONFIGURATION: ConfigurationStateMachine()}
         machines.update({name: WorkerDirectory() for name in WORKER_GROUPS})
         self.host = ReplicaHost(settings, store, machines, clock, Random())
         self.peer_calls = PeerCalls(self.host.dialers.get)
--- a/molespur/system/shards/configuration.py
+++ b/molespur/system/shards/configuration.py
@@ -17,7 +17,7 @@
 
 
 @implementer(IStateMachine)
-class ConfigurationMachine:
+class ConfigurationStateMachine:
     """The current configuration, and which changes were ever taken."""
 
     def __init__(self):
--- a/tests/system/control.py
+++ b/tests/system/control.py
@@ -11,7 +11,7 @@
 from molespur.system.membership.schedulers import SchedulerMonitor
 from molespur.system.rpc.peer_calls import PeerCalls
 from molespur.system.settings.process import ProcessSettings
-from molespur.system.shards.configuration import ConfigurationMachine
+from molespur.system.shards.configuration import ConfigurationStateMachine
 from molespur.system.shards.host import ReplicaHost
 from molespur.system.shards.placement import CONFIGURATION, WORKER_GROUPS
 from molespur.system.storage.store import Store
@@ -61,7 +61,7 @@
             listen={"ControlPlane": "10.0.0.1:80"},
             bootstrap=self.bootstrap,
         )
-        machines = {CONFIGURATION: ConfigurationMachine()}
+        machines = {CONFIGURATION: ConfigurationStateMachine()}
         machines.update({name: WorkerDirectory() for name in WORKER_GROUPS})
         self.host = ReplicaHost(settings, Store(self.folder), machines, lambda: self.now, Random(1))
         self.host.set_writer(InlineWriter(self.host))
--- a/tests/system/operator_history.py
+++ b/tests/system/operator_history.py
@@ -25,7 +25,7 @@
 
 from molespur.system.consensus import replica as raft
 from molespur.system.rpc import molespur_pb2 as pb
-from molespur.system.shards.configuration import ConfigurationMachine, PutOutcome
+from molespur.system.shards.configuration import ConfigurationStateMachine, PutOutcome
 
 PROPOSAL_MS = 850.0
 RETRY_MS = 120.0
@@ -36,7 +36,7 @@
 class ConfigurationReplica:
     """The configuration's state machine, as `virtual_group` wants one: it keeps what became of each entry."""
 
-    def __init__(self, machine=ConfigurationMachine):
+    def __init__(self, machine=ConfigurationStateMachine):
         self._made = machine()
 
     def apply(self, data):
@@ -64,7 +64,7 @@
 class Operators:
     """Plays one history."""
 
-    def __init__(self, seed, machine=ConfigurationMachine):
+    def __init__(self, seed, machine=ConfigurationStateMachine):
         self.random = Random(seed)
         self.group = VirtualGroup(seed, loss=0.02, state_machine=lambda: ConfigurationReplica(machine))
         self.history: list[Put | Get] = []
@@ -214,7 +214,7 @@
             self.group.restart(address)
 
 
-def play(seed, machine=ConfigurationMachine, rounds=5):
+def play(seed, machine=ConfigurationStateMachine, rounds=5):
     """One history; returns (whether it is explained, what it met)."""
     operators = Operators(seed, machine)
     history = operators.run(rounds)
--- a/tests/system/test_configuration.py
+++ b/tests/system/test_configuration.py
@@ -5,7 +5,7 @@
 from molespur.system.errors import ANSWERS, ErrorKind, FleetError
 from molespur.system.rpc import molespur_pb2 as pb
 from molespur.system.settings import configuration
-from molespur.system.shards.configuration import ConfigurationMachine, PutOutcome
+from molespur.system.shards.configuration import ConfigurationStateMachine, PutOutcome
 
 
 def change(version, base, body=b""):
@@ -17,7 +17,7 @@
 
 
 def test_of_two_changes_on_one_version_one_wins():
-    machine = ConfigurationMachine()
+    machine = ConfigurationStateMachine()
     assert machine.apply(change(1, 0))[0] is PutOutcome.TAKEN
     assert machine.apply(change(5, 1, b"a"))[0] is PutOutcome.TAKEN
     assert machine.apply(change(5, 1, b"b"))[0] is PutOutcome.MISMATCH
@@ -26,10 +26,10 @@
 
 
 def test_a_change_that_was_taken_is_never_refused():
-    machine = ConfigurationMachine()
+    machine = ConfigurationStateMachine()
     for version, base in ((1, 0), (3, 1), (4, 3)):
         machine.apply(change(version, base))
-    copy = ConfigurationMachine()
+    copy = ConfigurationStateMachine()
     copy.restore(machine.snapshot())
     for known in (machine, copy):
         assert [known.apply(change(v, b)) for v, b in ((1, 0), (3, 1), (4, 3))] == [
@@ -39,7 +39,7 @@
 
 
 def test_a_version_must_be_newer():
-    machine = ConfigurationMachine()
+    machine = ConfigurationStateMachine()
     machine.apply(change(4, 0))
     assert machine.apply(change(4, 4, b"x"))[0] is PutOutcome.NOT_NEWER
     assert machine.apply(change(3, 4))[0] is PutOutcome.NOT_NEWER
--- a/tests/system/test_many_changes.py
+++ b/tests/system/test_many_changes.py
@@ -14,7 +14,7 @@
 from molespur.system.consensus import replica as raft
 from molespur.system.consensus.snapshot_transfer import PIECE_BYTES, SnapshotReceiving, SnapshotSending
 from molespur.system.rpc import molespur_pb2 as pb
-from molespur.system.shards.configuration import ConfigurationMachine, PutOutcome
+from molespur.system.shards.configuration import ConfigurationStateMachine, PutOutcome
 from molespur.system.shards.placement import CONFIGURATION
 
 CHANGES = 2000
@@ -237,7 +237,7 @@
 
 def test_a_hundred_thousand_changes_are_remembered_at_a_bounded_cost():
     """Each repeat is known; state, snapshot and its time stay small."""
-    machine = ConfigurationMachine()
+    machine = ConfigurationStateMachine()
     body = b"x" * 2000
     for version in range(1, 100_001):
         command = pb.PutConfiguration(
@@ -247,7 +247,7 @@
     assert machine.size <= 2_100_000
     began = time.process_time()
     state = machine.snapshot()
-    copy = ConfigurationMachine()
+    copy = ConfigurationStateMachine()
     copy.restore(state)
     assert time.process_time() - began < 2.0 and len(state) < 1_900_000
     for version in (1, 50_000, 100_000):
--- a/tests/system/test_operator_histories.py
+++ b/tests/system/test_operator_histories.py
@@ -7,7 +7,7 @@
 from operator_history import play
 
 from molespur.system.rpc import molespur_pb2 as pb
-from molespur.system.shards.configuration import ConfigurationMachine, PutOutcome
+from molespur.system.shards.configuration import ConfigurationStateMachine, PutOutcome
 
 HISTORIES, PARTS = 200, 4
 MUST_MEET = (
@@ -37,7 +37,7 @@
 # -- The checker finds machines that are wrong ----------------------------------------------------------
 
 
-class Forgetful(ConfigurationMachine):
+class Forgetful(ConfigurationStateMachine):
     """Does not know which changes were taken."""
 
     def apply(self, data):
@@ -45,7 +45,7 @@
         return super().apply(data)
 
 
-class Pardoning(ConfigurationMachine):
+class Pardoning(ConfigurationStateMachine):
     """Does not know which changes were refused."""
 
     def apply(self, data):
@@ -53,7 +53,7 @@
         return super().apply(data)
 
 
-class Generous(ConfigurationMachine):
+class Generous(ConfigurationStateMachine):
     """Takes a change on any version."""
 
     def apply(self, data):
@@ -62,7 +62,7 @@
         return super().apply(command.SerializeToString())
 
 
-class Lossy(ConfigurationMachine):
+class Lossy(ConfigurationStateMachine):
     """Loses the digests with a snapshot."""
 
     def restore(self, data):
@@ -70,7 +70,7 @@
         self.taken.clear()
 
 
-class Hasty(ConfigurationMachine):
+class Hasty(ConfigurationStateMachine):
     """Tells a change that is refused that it was taken."""
 
     def apply(self, data):
--- a/tests/system/wrong_process.py
+++ b/tests/system/wrong_process.py
@@ -105,14 +105,14 @@
 
 
 def takes_any_base() -> None:
-    apply = configuration.ConfigurationMachine.apply
+    apply = configuration.ConfigurationStateMachine.apply
 
     def wrong(self, data):
         command = pb.PutConfiguration.FromString(data)
         command.base_version = self.version
         return apply(self, command.SerializeToString())
 
-    configuration.ConfigurationMachine.apply = wrong
+    configuration.ConfigurationStateMachine.apply = wrong
 
 
 def reads_without_asking() -> None:
