--- a/molespur/system/shards/configuration.py
+++ b/molespur/system/shards/configuration.py
@@ -11,7 +11,7 @@
 class PutOutcome(Enum):
     """What became of a change."""
 
-    TAKEN = "taken"  # it is in force, or was: also for one that comes again
+    ACCEPTED = "taken"  # it is in force, or was: also for one that comes again
     MISMATCH = "mismatch"  # it builds on another version than the current one
     NOT_NEWER = "not-newer"  # its version is not above the current one
 
@@ -40,7 +40,7 @@
         """
         command = pb.PutConfiguration.FromString(data)
         if command.digest in self.taken:
-            return PutOutcome.TAKEN, None
+            return PutOutcome.ACCEPTED, None
         if command.base_version != self.version or command.digest in self.refused:
             if command.base_version > self.version:
                 self.refused[command.digest] = command.base_version
@@ -50,7 +50,7 @@
         self.version, self.body = command.version, command.body
         self.taken[command.digest] = None
         self.refused = {digest: base for digest, base in self.refused.items() if base >= self.version}
-        return PutOutcome.TAKEN, self.feed_snapshot()
+        return PutOutcome.ACCEPTED, self.feed_snapshot()
 
     def snapshot(self) -> bytes:
         """All state, for another replica."""
--- a/tests/system/operator_history.py
+++ b/tests/system/operator_history.py
@@ -150,7 +150,7 @@
         if lost:
             self.met["answer lost"] += 1
         elif put.said is Said.UNKNOWN:
-            taken = outcome is PutOutcome.TAKEN
+            taken = outcome is PutOutcome.ACCEPTED
             put.said, put.end = (Said.TAKEN if taken else Said.REFUSED), self.group.now
             self.met["taken" if taken else "refused"] += 1
             if taken:
--- a/tests/system/test_configuration.py
+++ b/tests/system/test_configuration.py
@@ -18,8 +18,8 @@
 
 def test_of_two_changes_on_one_version_one_wins():
     machine = ConfigurationStateMachine()
-    assert machine.apply(change(1, 0))[0] is PutOutcome.TAKEN
-    assert machine.apply(change(5, 1, b"a"))[0] is PutOutcome.TAKEN
+    assert machine.apply(change(1, 0))[0] is PutOutcome.ACCEPTED
+    assert machine.apply(change(5, 1, b"a"))[0] is PutOutcome.ACCEPTED
     assert machine.apply(change(5, 1, b"b"))[0] is PutOutcome.MISMATCH
     assert machine.apply(change(7, 1))[0] is PutOutcome.MISMATCH
     assert (machine.version, machine.body) == (5, b"a")
@@ -33,7 +33,7 @@
     copy.restore(machine.snapshot())
     for known in (machine, copy):
         assert [known.apply(change(v, b)) for v, b in ((1, 0), (3, 1), (4, 3))] == [
-            (PutOutcome.TAKEN, None)
+            (PutOutcome.ACCEPTED, None)
         ] * 3
         assert known.version == 4
 
--- a/tests/system/test_many_changes.py
+++ b/tests/system/test_many_changes.py
@@ -243,7 +243,7 @@
         command = pb.PutConfiguration(
             version=version, base_version=version - 1, digest=version.to_bytes(16, "big"), body=body
         )
-        assert machine.apply(command.SerializeToString())[0] is PutOutcome.TAKEN
+        assert machine.apply(command.SerializeToString())[0] is PutOutcome.ACCEPTED
     assert machine.size <= 2_100_000
     began = time.process_time()
     state = machine.snapshot()
@@ -254,7 +254,7 @@
         command = pb.PutConfiguration(
             version=version, base_version=version - 1, digest=version.to_bytes(16, "big"), body=body
         )
-        assert copy.apply(command.SerializeToString()) == (PutOutcome.TAKEN, None)
+        assert copy.apply(command.SerializeToString()) == (PutOutcome.ACCEPTED, None)
 
 
 def test_a_process_that_missed_hundreds_of_changes_serves_the_newest_only(monkeypatch):
--- a/tests/system/test_operator_histories.py
+++ b/tests/system/test_operator_histories.py
@@ -75,7 +75,7 @@
 
     def apply(self, data):
         _, payload = super().apply(data)
-        return PutOutcome.TAKEN, payload
+        return PutOutcome.ACCEPTED, payload
 
 
 @pytest.mark.parametrize("machine", [Forgetful, Pardoning, Generous, Lossy, Hasty])
--- a/tests/system/wrong_process.py
+++ b/tests/system/wrong_process.py
@@ -148,7 +148,7 @@
 
     async def wrong(self, name, data):
         if name == CONFIGURATION and self.is_leader(name) and next(numbers) > FORGETS_AFTER:
-            return PutOutcome.TAKEN
+            return PutOutcome.ACCEPTED
         return await propose(self, name, data)
 
     host.ReplicaHost.propose = wrong
