--- a/molespur/system/shards/configuration.py
+++ b/molespur/system/shards/configuration.py
@@ -22,13 +22,15 @@
 
     def __init__(self):
         self.version, self.body = 0, b""
-        self.taken: dict[bytes, None] = {}
-        self.refused: dict[bytes, int] = {}  # digest -> base version, where that is above the current one
+        self.accepted_digests: dict[bytes, None] = {}
+        self.refused_bases: dict[
+            bytes, int
+        ] = {}  # digest -> base version, where that is above the current one
 
     @property
     def size(self) -> int:
         """Bytes that a snapshot takes, roughly."""
-        return len(self.body) + 20 * len(self.taken) + 24 * len(self.refused)
+        return len(self.body) + 20 * len(self.accepted_digests) + 24 * len(self.refused_bases)
 
     def apply(self, data: bytes) -> tuple[PutOutcome, bytes | None]:
         """Take one change if it builds on the current version.
@@ -39,23 +41,27 @@
         be later, and is remembered until the current version has passed its base.
         """
         command = pb.PutConfiguration.FromString(data)
-        if command.digest in self.taken:
+        if command.digest in self.accepted_digests:
             return PutOutcome.ACCEPTED, None
-        if command.base_version != self.version or command.digest in self.refused:
+        if command.base_version != self.version or command.digest in self.refused_bases:
             if command.base_version > self.version:
-                self.refused[command.digest] = command.base_version
+                self.refused_bases[command.digest] = command.base_version
             return PutOutcome.MISMATCH, None
         if command.version <= self.version:
             return PutOutcome.NOT_NEWER, None
         self.version, self.body = command.version, command.body
-        self.taken[command.digest] = None
-        self.refused = {digest: base for digest, base in self.refused.items() if base >= self.version}
+        self.accepted_digests[command.digest] = None
+        self.refused_bases = {
+            digest: base for digest, base in self.refused_bases.items() if base >= self.version
+        }
         return PutOutcome.ACCEPTED, self.feed_snapshot()
 
     def snapshot(self) -> bytes:
         """All state, for another replica."""
-        state = pb.ConfigurationState(version=self.version, body=self.body, taken_digests=list(self.taken))
-        for digest, base_version in self.refused.items():
+        state = pb.ConfigurationState(
+            version=self.version, body=self.body, taken_digests=list(self.accepted_digests)
+        )
+        for digest, base_version in self.refused_bases.items():
             state.refused.add(digest=digest, base_version=base_version)
         return state.SerializeToString()
 
@@ -63,8 +69,8 @@
         """Replace the state by that of a snapshot."""
         state = pb.ConfigurationState.FromString(data)
         self.version, self.body = state.version, state.body
-        self.taken = dict.fromkeys(state.taken_digests)
-        self.refused = {change.digest: change.base_version for change in state.refused}
+        self.accepted_digests = dict.fromkeys(state.taken_digests)
+        self.refused_bases = {change.digest: change.base_version for change in state.refused}
 
     def feed_snapshot(self) -> bytes:
         """The current configuration, for the data plane."""
--- a/tests/system/test_operator_histories.py
+++ b/tests/system/test_operator_histories.py
@@ -41,7 +41,7 @@
     """Does not know which changes were taken."""
 
     def apply(self, data):
-        self.taken.clear()
+        self.accepted_digests.clear()
         return super().apply(data)
 
 
@@ -49,7 +49,7 @@
     """Does not know which changes were refused."""
 
     def apply(self, data):
-        self.refused.clear()
+        self.refused_bases.clear()
         return super().apply(data)
 
 
@@ -67,7 +67,7 @@
 
     def restore(self, data):
         super().restore(data)
-        self.taken.clear()
+        self.accepted_digests.clear()
 
 
 class Hasty(ConfigurationStateMachine):
