--- a/molespur/system/shards/group.py
+++ b/molespur/system/shards/group.py
@@ -63,7 +63,7 @@
     def restore(self, snapshot: raft.Snapshot) -> None:
         """Go by a snapshot in place of the state."""
         self.state_machine.restore(snapshot.state)
-        self.history.restart(snapshot.index)
+        self.history.reset(snapshot.index)
         self.schedule.restored()
         self._compaction = None
 
--- a/molespur/system/shards/history.py
+++ b/molespur/system/shards/history.py
@@ -27,7 +27,7 @@
             self.since, dropped = self._changes.popleft()
             self._bytes -= len(dropped)
 
-    def restart(self, index: int) -> None:
+    def reset(self, index: int) -> None:
         """The state was replaced by that of a snapshot: no change up to this index is known."""
         self._changes.clear()
         self._bytes, self.since = 0, index
--- a/tests/system/test_feed_history.py
+++ b/tests/system/test_feed_history.py
@@ -51,7 +51,7 @@
 
 def test_a_follower_gets_what_it_lacks_or_is_told_that_it_is_not_kept():
     history = ChangeHistory()
-    history.restart(10)
+    history.reset(10)
     for index in range(11, 15):
         history.append(index, b"%d" % index)
     assert list(history.after(12)) == [(13, b"13"), (14, b"14")]
@@ -72,5 +72,5 @@
 def test_nothing_of_before_a_snapshot_is_kept():
     history = ChangeHistory()
     history.append(1, b"x")
-    history.restart(5)
+    history.reset(5)
     assert history.after(4) is None and list(history.after(5)) == []
