--- a/molespur/system/consensus/elections.py
+++ b/molespur/system/consensus/elections.py
@@ -80,7 +80,7 @@
             granted = up_to_date and message.term > self.hard_state.term
             if granted and self.role is Role.PRE_CANDIDATE and message.sender > self.id:
                 # both would get every pre-vote and split the votes: the one with the lower identity gives way
-                self._follow("")
+                self._become_follower("")
                 self._reset_election(YIELD_TIMEOUT_RANGE_MS)
             self._answer_vote(message, granted, after_write=False)
             return
--- a/molespur/system/consensus/following.py
+++ b/molespur/system/consensus/following.py
@@ -12,7 +12,7 @@
         self.leader_contact_at_ms, self.leader_heard_last = self.now, message.sender
         self._reset_election()
         if self.role is not Role.FOLLOWER or self.leader_id != message.sender:
-            self._follow(message.sender)
+            self._become_follower(message.sender)
 
     def _append_requested(self, message: pb.ConsensusMessage) -> None:
         self._heard_leader(message)
@@ -40,7 +40,7 @@
         new = [e for e in entries if self.log.term_at(e.index) != e.term]
         if new:
             self._append(entries[entries.index(new[0]) :])
-            self._follow(message.sender)
+            self._become_follower(message.sender)
         reply.append_reply.success = True
         reply.append_reply.match_index = max(last, self.log.snapshot.index)
         self._send(self._sender(message), reply, after_write=bool(new) or self.log.durable_index < last)
@@ -73,7 +73,7 @@
                 self._send(self._sender(message), reply)
                 return
             self._install(snapshot)
-            self._follow(message.sender)
+            self._become_follower(message.sender)
         reply.append_reply.match_index = self.log.commit_index
         self._send(self._sender(message), reply, after_write=True)
 
--- a/molespur/system/consensus/leading.py
+++ b/molespur/system/consensus/leading.py
@@ -178,7 +178,7 @@
         if others:
             _match, successor = max(others)
             self._send(self.member(successor), self._timeout_now(successor))
-        self._follow("")
+        self._become_follower("")
         self._reset_election()
 
     def _timeout_now(self, receiver: str) -> pb.ConsensusMessage:
--- a/molespur/system/consensus/replica.py
+++ b/molespur/system/consensus/replica.py
@@ -84,7 +84,7 @@
             elif self.now >= self.heartbeat_at:
                 self._broadcast()
             if self.transfer_to and self.now >= self.transfer_until:
-                self._follow("")  # its successor may lead without this replica knowing
+                self._become_follower("")  # its successor may lead without this replica knowing
         elif self.role is not Role.OUTSIDER and self.now >= self.election_at:
             if self.is_voter():
                 self._campaign(pre_vote=True)
--- a/molespur/system/consensus/replica_state.py
+++ b/molespur/system/consensus/replica_state.py
@@ -166,9 +166,9 @@
     def _adopt_term(self, term: int) -> None:
         self.hard_state.term, self.hard_state.vote = term, ""
         self._write()
-        self._follow("")
+        self._become_follower("")
 
-    def _follow(self, leader: str) -> None:
+    def _become_follower(self, leader: str) -> None:
         known = bool(self.log.membership.members)
         self._set_role(Role.FOLLOWER if known else Role.OUTSIDER, leader)
 
--- a/tests/system/test_feed.py
+++ b/tests/system/test_feed.py
@@ -90,7 +90,7 @@
 def test_a_source_that_has_lost_its_leader_starts_nobody(plane):
     plane.put(BODY % 1, 0)
     plane.lose_power()
-    plane.host.groups[CONFIGURATION].replica._follow("")
+    plane.host.groups[CONFIGURATION].replica._become_follower("")
     plane.host.groups[CONFIGURATION].replica.leader_contact_at_ms = plane.now - 60_000.0
     source, pipe = source_of(plane), Pipe()
     plane.subscribe(source, pipe, pb.Subscribe(node="edge-1"))
@@ -341,7 +341,7 @@
     source, pipe = source_of(plane), Pipe()
     plane.subscribe(source, pipe, pb.Subscribe(node="edge-1"))
     replica = plane.host.groups[CONFIGURATION].replica
-    replica._follow("")
+    replica._become_follower("")
     before = pong_to(plane, source, pipe).configuration_age_ms
     plane.now += 500.0
     assert pong_to(plane, source, pipe).configuration_age_ms == before + 500
