--- a/molespur/system/consensus/replica_state.py
+++ b/molespur/system/consensus/replica_state.py
@@ -91,7 +91,7 @@
             return max(now - self._quorum_heard_at(now), 0.0)
         return now - self.leader_contact_at_ms
 
-    def state_age(self, now: float) -> float:
+    def state_age_ms(self, now: float) -> float:
         """Time since which something may have been acknowledged that the state here lacks; inf: any time."""
         return now - max(self.age.confirmed_at, self._confirmed_by_lead(now))
 
--- a/molespur/system/control_plane/figures.py
+++ b/molespur/system/control_plane/figures.py
@@ -43,7 +43,7 @@
         _by_shard(host, "shard_leader_silence_ms", "Time since the leader was heard of, ms.",
                   lambda group: min(group.replica.ms_since_leader_contact(now), 1e9)),
         _by_shard(host, "shard_state_age_ms", "Time since which the state here may lack something, ms.",
-                  lambda group: min(group.replica.state_age(now), 1e9)),
+                  lambda group: min(group.replica.state_age_ms(now), 1e9)),
         gauge("configuration_version", "Newest version that is known here; 0 before the first.",
               host.groups[CONFIGURATION].state_machine.version),
         Metric("workers", MetricKind.GAUGE, "Workers by service and state.", ("service", "state"),
--- a/molespur/system/shards/host.py
+++ b/molespur/system/shards/host.py
@@ -167,7 +167,7 @@
         """
         now = self.clock()
         groups = self.groups.values() if name is None else [self.groups[name]]
-        return max(group.replica.state_age(now) for group in groups)
+        return max(group.replica.state_age_ms(now) for group in groups)
 
     def members(self) -> list[pb.Member]:
         """The members of the configuration's group."""
--- a/tests/system/test_state_age_of_replicas.py
+++ b/tests/system/test_state_age_of_replicas.py
@@ -32,7 +32,7 @@
 
 
 def age(group, process):
-    return process.replica.state_age(group.now)
+    return process.replica.state_age_ms(group.now)
 
 
 def test_an_undisturbed_group_stays_young():
