--- a/molespur/system/control_plane/role.py
+++ b/molespur/system/control_plane/role.py
@@ -138,7 +138,7 @@
                 if reply.groups:
                     channel.send(pb.Frame(leave_reply=reply))
             case "leave_reply":
-                self.host.leaving.answered(frame.leave_reply)
+                self.host.leaving.handle_leave_reply(frame.leave_reply)
 
     def _feed_heartbeat(self) -> None:
         now = clock()
--- a/molespur/system/shards/leaving.py
+++ b/molespur/system/shards/leaving.py
@@ -44,7 +44,7 @@
             self.host.broadcast(pb.Frame(leave_request=request))
         return held
 
-    def answered(self, reply: pb.LeaveReply) -> None:
+    def handle_leave_reply(self, reply: pb.LeaveReply) -> None:
         """A leader has let this process go, in these groups."""
         self.released.update(reply.groups)
 
