--- a/molespur/system/consensus/elections.py
+++ b/molespur/system/consensus/elections.py
@@ -65,7 +65,7 @@
         self._propose(pb.NOOP, b"")
 
     def _vote_requested(self, message: pb.ConsensusMessage) -> None:
-        if self.role is Role.OUTSIDER or not self.is_voter():
+        if self.role is Role.NON_MEMBER or not self.is_voter():
             return  # a replica that has forgotten its votes, or has none, takes part in no vote
         request = message.vote_request
         heard = self.ms_since_leader_contact(self.now) < MIN_ELECTION_TIMEOUT_MS
--- a/molespur/system/consensus/records.py
+++ b/molespur/system/consensus/records.py
@@ -10,7 +10,7 @@
 class Role(Enum):
     """The states of a replica."""
 
-    OUTSIDER = "outsider"  # no membership is known: neither votes nor campaigns
+    NON_MEMBER = "outsider"  # no membership is known: neither votes nor campaigns
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
     CANDIDATE = "candidate"
@@ -115,7 +115,7 @@
     truncate_from: int | None = None
     entries: Sequence[pb.LogEntry] = ()
     snapshot: Snapshot | None = None
-    release: list[Send] = field(default_factory=list)
+    send_after_sync: list[Send] = field(default_factory=list)
     sequence: int = 0
 
 
@@ -172,7 +172,7 @@
 
 
 @dataclass(slots=True)
-class Unsynced:
+class UnsyncedRecord:
     """A record that is being written, and what will be durable once it is."""
 
     sequence: int
--- a/molespur/system/consensus/replica.py
+++ b/molespur/system/consensus/replica.py
@@ -35,7 +35,7 @@
     Snapshot,
     Tick,
     TransferLeadership,
-    Unsynced,
+    UnsyncedRecord,
 )
 from .timing import MAX_ELECTION_TIMEOUT_MS, MIN_ELECTION_TIMEOUT_MS
 
@@ -73,7 +73,7 @@
         if self._persist is not None:
             self._sequence += 1
             self._persist.sequence = self._sequence
-            self._unsynced.append(Unsynced(self._sequence, self.log.last_index, self.hard_state.term))
+            self._unsynced.append(UnsyncedRecord(self._sequence, self.log.last_index, self.hard_state.term))
             self._actions.append(self._persist)
         return self._actions
 
@@ -85,7 +85,7 @@
                 self._broadcast()
             if self.transfer_to and self.now >= self.transfer_until:
                 self._become_follower("")  # its successor may lead without this replica knowing
-        elif self.role is not Role.OUTSIDER and self.now >= self.election_at:
+        elif self.role is not Role.NON_MEMBER and self.now >= self.election_at:
             if self.is_voter():
                 self._campaign(pre_vote=True)
             else:
--- a/molespur/system/consensus/replica_state.py
+++ b/molespur/system/consensus/replica_state.py
@@ -20,7 +20,7 @@
     RoleChanged,
     Send,
     Snapshot,
-    Unsynced,
+    UnsyncedRecord,
 )
 from .snapshot_transfer import SnapshotReceiving
 from .state_age import StateAge
@@ -50,7 +50,7 @@
         self.group, self.id, self.random = group, replica_id, random
         self.hard_state = hard_state or HardState()
         self.log = ReplicatedLog(snapshot or Snapshot(), entries)
-        self.role, self.leader_id = Role.OUTSIDER, ""
+        self.role, self.leader_id = Role.NON_MEMBER, ""
         self.progress: dict[str, Progress] = {}
         self.votes: set[str] = set()
         self.reads = ReadIndex()
@@ -65,11 +65,11 @@
         self.heartbeat_at = now
         self._actions: list[Action] = []
         self._persist: Persist | None = None
-        self._unsynced: list[Unsynced] = []
+        self._unsynced: list[UnsyncedRecord] = []
         self._sequence = 0
         self.durable_term = self.hard_state.term
         self.led_since = self.transfer_until = now
-        self._set_role(Role.FOLLOWER if self.log.membership.members else Role.OUTSIDER)
+        self._set_role(Role.FOLLOWER if self.log.membership.members else Role.NON_MEMBER)
         self._reset_election(FIRST_ELECTION_TIMEOUT_RANGE_MS)
         self._actions.clear()
 
@@ -170,7 +170,7 @@
 
     def _become_follower(self, leader: str) -> None:
         known = bool(self.log.membership.members)
-        self._set_role(Role.FOLLOWER if known else Role.OUTSIDER, leader)
+        self._set_role(Role.FOLLOWER if known else Role.NON_MEMBER, leader)
 
     def _majority(self, identities) -> bool:
         voters = self.voters()
@@ -202,7 +202,7 @@
         if member is None:
             return
         if after_write:
-            self._write().release.append(Send(member, message))
+            self._write().send_after_sync.append(Send(member, message))
         else:
             self._actions.append(Send(member, message))
 
--- a/molespur/system/shards/host.py
+++ b/molespur/system/shards/host.py
@@ -223,7 +223,7 @@
             return
         if message.receiver == self.replica_id:
             self.handle(group, raft.Received(message))
-        elif group.replica.role is raft.Role.OUTSIDER:
+        elif group.replica.role is raft.Role.NON_MEMBER:
             # meant for a disk that was here before: its sender can take this replica in
             self.dial(message.sender.partition("#")[0])
 
@@ -266,7 +266,7 @@
     def handle_written(self, name: str, record: raft.Persist) -> None:
         """A record is on the disk."""
         group = self.groups[name]
-        self._carry_out(group, record.release)
+        self._carry_out(group, record.send_after_sync)
         self.handle(group, raft.Persisted(record.sequence))
 
     def dial(self, address: str) -> None:
--- a/molespur/system/shards/leaving.py
+++ b/molespur/system/shards/leaving.py
@@ -53,7 +53,7 @@
         if replica.role is raft.Role.LEADER:
             self.released.discard(name)
             return self._pass_lead_on(group)
-        return name not in self.released and replica.role is not raft.Role.OUTSIDER
+        return name not in self.released and replica.role is not raft.Role.NON_MEMBER
 
     def _pass_lead_on(self, group) -> bool:
         """Move on with a lead; whether there is anybody to take it."""
--- a/tests/system/test_consensus.py
+++ b/tests/system/test_consensus.py
@@ -386,7 +386,7 @@
     assert not [a for a in actions if isinstance(a, raft.Restore)]
     (record,) = [a for a in actions if isinstance(a, raft.Persist)]
     assert record.truncate_from is None and record.snapshot is None
-    assert record.release[0].message.append_reply.match_index == 4
+    assert record.send_after_sync[0].message.append_reply.match_index == 4
 
 
 def test_a_snapshot_replaces_entries_of_another_history():
--- a/tests/system/test_exhaustive.py
+++ b/tests/system/test_exhaustive.py
@@ -109,7 +109,7 @@
         if record.truncate_from is not None:
             node.entries = {i: e for i, e in node.entries.items() if i < record.truncate_from}
         node.entries.update({entry.index: entry for entry in record.entries})
-        for send in record.release:
+        for send in record.send_after_sync:
             self._send(send.message)
         self._handle(number, raft.Persisted(record.sequence))
 
--- a/tests/system/test_votes.py
+++ b/tests/system/test_votes.py
@@ -26,7 +26,7 @@
     message.vote_request.last_term, message.vote_request.last_index = last
     actions = voter.handle(10_000.0, raft.Received(message))
     at_once = [a for a in actions if isinstance(a, raft.Send)]
-    later = [send for a in actions if isinstance(a, raft.Persist) for send in a.release]
+    later = [send for a in actions if isinstance(a, raft.Persist) for send in a.send_after_sync]
     if not at_once and not later:
         return None
     (send,) = [*at_once, *later]
--- a/tests/system/virtual_group.py
+++ b/tests/system/virtual_group.py
@@ -216,7 +216,7 @@
             record.truncate_from,
             list(record.entries),
             record.snapshot,
-            list(record.release),
+            list(record.send_after_sync),
             record.sequence,
         )
         self.schedule(self.sync_ms, self._written, process, copy)
@@ -230,7 +230,7 @@
     def _told(self, process, record):
         if self.processes.get(process.address) is not process or process.address in self.down:
             return
-        for send in record.release:
+        for send in record.send_after_sync:
             self.send(process, send.member, send.message)
         process.handle(raft.Persisted(record.sequence))
 
