--- a/molespur/system/consensus/following.py
+++ b/molespur/system/consensus/following.py
@@ -33,7 +33,7 @@
         if self.log.term_at(previous) != previous_term:
             reply.append_reply.success = False
             reply.append_reply.match_index = self.log.last_before_conflict(previous)
-            self.receiving.tell(reply.append_reply)
+            self.receiving.report_partial(reply.append_reply)
             self._send(self._sender(message), reply)
             return
         last = request.entries[-1].index if request.entries else request.previous_index
@@ -65,11 +65,11 @@
             # all that the snapshot stands for is there; entries after it may be acknowledged already
             self._commit_to(sent.index)
         elif sent.index > self.log.commit_index:
-            snapshot = self.receiving.take(sent)
+            snapshot = self.receiving.receive_chunk(sent)
             if snapshot is None:
                 reply.append_reply.match_index = self.log.snapshot.index
                 reply.append_reply.snapshot_index = sent.index
-                reply.append_reply.snapshot_received = self.receiving.received
+                reply.append_reply.snapshot_received = self.receiving.received_bytes
                 self._send(self._sender(message), reply)
                 return
             self._install(snapshot)
--- a/molespur/system/consensus/leading.py
+++ b/molespur/system/consensus/leading.py
@@ -6,7 +6,7 @@
 from .progress import Progress
 from .records import NotLeader, Proposed, ReadConfirmed, ReadRefused, Role
 from .replica_state import ReplicaState
-from .snapshot_transfer import SnapshotSending
+from .snapshot_transfer import SnapshotSender
 from .timing import APPEND_RETRY_TIMEOUT_MS, HEARTBEAT_INTERVAL_MS, MAX_ELECTION_TIMEOUT_MS
 
 
@@ -96,9 +96,9 @@
     def _send_snapshot(self, member: pb.Member, progress: Progress) -> None:
         """Send the next piece of the snapshot that is on its way, or begin with the newest one."""
         if progress.snapshot is None:
-            progress.snapshot = SnapshotSending.of(self.log.snapshot, progress.held)
+            progress.snapshot = SnapshotSender.create(self.log.snapshot, progress.held)
         message = self._message(member.replica_id)
-        progress.snapshot.fill(message.install_snapshot)
+        progress.snapshot.fill_chunk(message.install_snapshot)
         message.install_snapshot.sent_at_ms = int(self.now)
         message.install_snapshot.read_round = self.reads.round
         progress.sent(self.now, progress.snapshot.snapshot.index)
--- a/molespur/system/consensus/progress.py
+++ b/molespur/system/consensus/progress.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from ..rpc import molespur_pb2 as pb
-from .snapshot_transfer import HeldPieces, SnapshotSending
+from .snapshot_transfer import PartialSnapshot, SnapshotSender
 
 
 @dataclass(slots=True)
@@ -24,8 +24,8 @@
     waiting_since: float | None = None  # an append with entries, or a snapshot, is out since then
     waiting_for: int = 0  # the last index that it holds
     commit_told: int = 0  # the commit index that it can have learned from what was sent
-    snapshot: SnapshotSending | None = None  # a snapshot is on its way, in pieces
-    held: HeldPieces | None = None  # of a transfer that another leader has begun
+    snapshot: SnapshotSender | None = None  # a snapshot is on its way, in pieces
+    held: PartialSnapshot | None = None  # of a transfer that another leader has begun
 
     def sent(self, now: float, last_index: int) -> None:
         """An append with entries, or a snapshot, has gone out; no further one does until it is answered."""
@@ -51,14 +51,14 @@
         else:
             self.next = max(min(self.next - 1, reply.match_index + 1), self.match + 1, 1)
             self.waiting_since = None
-            self.held = HeldPieces(reply.snapshot_index, reply.snapshot_received)
+            self.held = PartialSnapshot(reply.snapshot_index, reply.snapshot_received)
 
     def _snapshot_answered(self, reply: pb.AppendReply) -> None:
         if self.snapshot is None:
             return
         if self.match >= self.snapshot.snapshot.index:
             self.snapshot = None
-        elif self.snapshot.answered(reply):
+        elif self.snapshot.handle_reply(reply):
             self.waiting_since = None  # the next piece may go
 
 
--- a/molespur/system/consensus/replica_state.py
+++ b/molespur/system/consensus/replica_state.py
@@ -22,7 +22,7 @@
     Snapshot,
     UnsyncedRecord,
 )
-from .snapshot_transfer import SnapshotReceiving
+from .snapshot_transfer import SnapshotReceiver
 from .state_age import StateAge
 from .timing import (
     ELECTION_TIMEOUT_RANGE_MS,
@@ -54,7 +54,7 @@
         self.progress: dict[str, Progress] = {}
         self.votes: set[str] = set()
         self.reads = ReadIndex()
-        self.receiving = SnapshotReceiving()
+        self.receiving = SnapshotReceiver()
         self.age = StateAge()
         self.life = life
         self.leader_contact_at_ms = float("-inf")
--- a/molespur/system/consensus/snapshot_transfer.py
+++ b/molespur/system/consensus/snapshot_transfer.py
@@ -12,19 +12,19 @@
 from ..rpc import molespur_pb2 as pb
 from .records import Snapshot
 
-PIECE_BYTES = 256 << 10
+CHUNK_BYTES = 256 << 10
 
 
 @dataclass(frozen=True, slots=True)
-class HeldPieces:
+class PartialSnapshot:
     """What a follower says that it holds of a snapshot: its index, and bytes from its start."""
 
     index: int
-    received: int
+    received_bytes: int
 
 
 @dataclass(slots=True)
-class SnapshotSending:
+class SnapshotSender:
     """The leader's side of one transfer; the snapshot stays the same until the transfer has ended."""
 
     snapshot: Snapshot
@@ -32,23 +32,25 @@
     offset: int = 0
 
     @classmethod
-    def of(cls, snapshot: Snapshot, held: "HeldPieces | None" = None) -> "SnapshotSending":
+    def create(cls, snapshot: Snapshot, held: "PartialSnapshot | None" = None) -> "SnapshotSender":
         """A transfer that is to begin, or to go on after what the follower holds of the same index.
 
         Where these are bytes of another snapshot the follower drops them, and its answer says so.
         """
-        begun = held is not None and held.index == snapshot.index and held.received < len(snapshot.state)
-        return cls(snapshot, crc32(snapshot.state), held.received if begun else 0)
+        begun = (
+            held is not None and held.index == snapshot.index and held.received_bytes < len(snapshot.state)
+        )
+        return cls(snapshot, crc32(snapshot.state), held.received_bytes if begun else 0)
 
-    def fill(self, message: pb.InstallSnapshot) -> None:
+    def fill_chunk(self, message: pb.InstallSnapshot) -> None:
         """Put the next piece into a message."""
         message.index, message.term = self.snapshot.index, self.snapshot.term
         message.membership.CopyFrom(self.snapshot.membership)
         message.offset, message.size = self.offset, len(self.snapshot.state)
         message.checksum = self.checksum
-        message.state = self.snapshot.state[self.offset : self.offset + PIECE_BYTES]
+        message.state = self.snapshot.state[self.offset : self.offset + CHUNK_BYTES]
 
-    def answered(self, reply: pb.AppendReply) -> bool:
+    def handle_reply(self, reply: pb.AppendReply) -> bool:
         """Take the follower's answer; whether it was one to this transfer."""
         if reply.snapshot_index != self.snapshot.index:
             return False
@@ -56,14 +58,14 @@
         return True
 
 
-class SnapshotReceiving:
+class SnapshotReceiver:
     """The follower's side: the pieces of at most one snapshot."""
 
     def __init__(self):
         self._key: tuple[int, int, int, int] | None = None
         self._state = bytearray()
 
-    def take(self, message: pb.InstallSnapshot) -> Snapshot | None:
+    def receive_chunk(self, message: pb.InstallSnapshot) -> Snapshot | None:
         """Take a piece; return the snapshot once it is whole and its checksum is right."""
         key = (message.index, message.term, message.size, message.checksum)
         if key != self._key:
@@ -74,23 +76,23 @@
         if len(self._state) < message.size:
             return None
         state = bytes(self._state)
-        self.forget()
+        self.reset()
         if crc32(state) != message.checksum or len(state) != message.size:
             return None
         membership = pb.Membership()
         membership.CopyFrom(message.membership)
         return Snapshot(message.index, message.term, membership, state)
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Drop all pieces."""
         self._key, self._state = None, bytearray()
 
-    def tell(self, reply: pb.AppendReply) -> None:
+    def report_partial(self, reply: pb.AppendReply) -> None:
         """Say in an answer what is here, if anything is."""
         if self._key is not None and self._state:
             reply.snapshot_index, reply.snapshot_received = self._key[0], len(self._state)
 
     @property
-    def received(self) -> int:
+    def received_bytes(self) -> int:
         """Bytes of the present transfer that are here."""
         return len(self._state)
--- a/tests/system/mutations/breaks.py
+++ b/tests/system/mutations/breaks.py
@@ -223,7 +223,7 @@
           "index % self._stride(state_bytes)", "(index + id(self) // 16) % self._stride(state_bytes)",
           SNAPSHOT_TESTS),
     Break("a new leader that is not told of the pieces that are held", CONSENSUS + "following.py",
-          "            self.receiving.tell(reply.append_reply)\n", "", SNAPSHOT_TESTS),
+          "            self.receiving.report_partial(reply.append_reply)\n", "", SNAPSHOT_TESTS),
     Break("an accepted channel that nobody judges", "molespur/system/rpc/channel.py",
           "        self._loop.call_later(QUIET_S, self._look)\n        sock", "        sock",
           (TESTS + "test_channel_liveness.py",)),
--- a/tests/system/test_many_changes.py
+++ b/tests/system/test_many_changes.py
@@ -12,7 +12,7 @@
 from virtual_group import VirtualGroup
 
 from molespur.system.consensus import replica as raft
-from molespur.system.consensus.snapshot_transfer import PIECE_BYTES, SnapshotReceiving, SnapshotSending
+from molespur.system.consensus.snapshot_transfer import CHUNK_BYTES, SnapshotReceiver, SnapshotSender
 from molespur.system.rpc import molespur_pb2 as pb
 from molespur.system.shards.configuration import ConfigurationStateMachine, PutOutcome
 from molespur.system.shards.placement import CONFIGURATION
@@ -130,7 +130,7 @@
     address = follower_of(group)
     group.isolate(address)
     for number in range(pieces):
-        group.propose(b"%d" % number * (PIECE_BYTES // len(b"%d" % number)))
+        group.propose(b"%d" % number * (CHUNK_BYTES // len(b"%d" % number)))
         group.run(120)
     for number in range(10):
         group.propose(b"small%d" % number)
@@ -153,7 +153,7 @@
         piece = pieces_of(message)
         if piece is not None:
             offsets.append(piece.offset)
-            assert len(piece.state) <= PIECE_BYTES
+            assert len(piece.state) <= CHUNK_BYTES
             if len(offsets) in (2, 5):
                 return  # lost on its way
         arrive(sender, receiver, message)
@@ -189,7 +189,7 @@
     assert group.processes[address].state_machine.commands == group.leader().state_machine.commands
     second = [(index, offset) for sender, index, offset in offsets if sender != first_leader.address]
     assert second and second[0][0] == offsets[0][1], "the same snapshot"
-    assert sorted({offset for _, offset in second})[1] >= 3 * PIECE_BYTES, "only its first piece is sent anew"
+    assert sorted({offset for _, offset in second})[1] >= 3 * CHUNK_BYTES, "only its first piece is sent anew"
 
 
 def test_the_leader_is_heard_while_a_snapshot_is_on_its_way():
@@ -208,30 +208,32 @@
 
 
 def test_pieces_that_are_damaged_double_or_of_another_snapshot():
-    snapshot = raft.Snapshot(9, 2, pb.Membership(), bytes(range(256)) * (3 * PIECE_BYTES // 256))
-    sending, receiving = SnapshotSending.of(snapshot), SnapshotReceiving()
+    snapshot = raft.Snapshot(9, 2, pb.Membership(), bytes(range(256)) * (3 * CHUNK_BYTES // 256))
+    sending, receiving = SnapshotSender.create(snapshot), SnapshotReceiver()
 
     def piece(offset):
         message = pb.InstallSnapshot()
         sending.offset = offset
-        sending.fill(message)
+        sending.fill_chunk(message)
         return message
 
-    assert receiving.take(piece(0)) is None and receiving.received == PIECE_BYTES
-    assert receiving.take(piece(0)) is None and receiving.received == PIECE_BYTES
-    assert receiving.take(piece(2 * PIECE_BYTES)) is None and receiving.received == PIECE_BYTES
-    damaged = piece(PIECE_BYTES)
-    damaged.state = bytes(PIECE_BYTES)
-    receiving.take(damaged)
-    assert receiving.take(piece(2 * PIECE_BYTES)) is None and receiving.received == 0, "from the start again"
-    for offset in (0, PIECE_BYTES):
-        receiving.take(piece(offset))
+    assert receiving.receive_chunk(piece(0)) is None and receiving.received_bytes == CHUNK_BYTES
+    assert receiving.receive_chunk(piece(0)) is None and receiving.received_bytes == CHUNK_BYTES
+    assert receiving.receive_chunk(piece(2 * CHUNK_BYTES)) is None and receiving.received_bytes == CHUNK_BYTES
+    damaged = piece(CHUNK_BYTES)
+    damaged.state = bytes(CHUNK_BYTES)
+    receiving.receive_chunk(damaged)
+    assert receiving.receive_chunk(piece(2 * CHUNK_BYTES)) is None and receiving.received_bytes == 0, (
+        "from the start again"
+    )
+    for offset in (0, CHUNK_BYTES):
+        receiving.receive_chunk(piece(offset))
     other = piece(0)
     other.index = 10
-    assert receiving.take(other) is None and receiving.received == PIECE_BYTES
-    for offset in (0, PIECE_BYTES):
-        receiving.take(piece(offset))
-    whole = receiving.take(piece(2 * PIECE_BYTES))
+    assert receiving.receive_chunk(other) is None and receiving.received_bytes == CHUNK_BYTES
+    for offset in (0, CHUNK_BYTES):
+        receiving.receive_chunk(piece(offset))
+    whole = receiving.receive_chunk(piece(2 * CHUNK_BYTES))
     assert whole.state == snapshot.state and crc32(whole.state) == sending.checksum
 
 
--- a/tests/system/test_snapshots_across_leaders.py
+++ b/tests/system/test_snapshots_across_leaders.py
@@ -17,7 +17,7 @@
 
 from molespur.system.consensus import replica as raft
 from molespur.system.consensus.compaction import LEAST_ENTRIES, CompactionSchedule
-from molespur.system.consensus.snapshot_transfer import PIECE_BYTES
+from molespur.system.consensus.snapshot_transfer import CHUNK_BYTES
 from molespur.system.shards.placement import CONFIGURATION
 
 MANY_CHANGES = 300
@@ -68,7 +68,7 @@
         group.run(400)
     group.run(1000)
     senders, arrive = [], group._arrive
-    most_of_a_leader = state_bytes // PIECE_BYTES // (LEADER_CHANGES + 1)
+    most_of_a_leader = state_bytes // CHUNK_BYTES // (LEADER_CHANGES + 1)
     changes = 0
 
     def watched(sender, receiver, message):
@@ -88,7 +88,7 @@
     leaders = sum(one != other for one, other in pairwise(senders))
     assert leaders >= LEADER_CHANGES
     state = len(group.leader().state_machine.snapshot())
-    least = -(-state // PIECE_BYTES)
+    least = -(-state // CHUNK_BYTES)
     assert len(senders) <= least + LEADER_CHANGES, (len(senders), least, leaders)
 
 
