--- a/molespur/system/consensus/elections.py
+++ b/molespur/system/consensus/elections.py
@@ -55,13 +55,13 @@
         self._set_role(Role.LEADER, self.id)
         self.led_since = self.now
         self.progress = {
-            m.replica_id: Progress(next=self.log.last_index + 1, heard_at=self.now)
+            m.replica_id: Progress(next_index=self.log.last_index + 1, last_reply_at_ms=self.now)
             for m in self.log.membership.members
             if m.replica_id != self.id
         }
         if self.leader_heard_last in self.progress and self.leader_heard_last not in voted:
             # the leader before may be lost: its silence has lasted since it was heard of last
-            self.progress[self.leader_heard_last].heard_at = self.leader_contact_at_ms
+            self.progress[self.leader_heard_last].last_reply_at_ms = self.leader_contact_at_ms
         self._propose(pb.NOOP, b"")
 
     def _vote_requested(self, message: pb.ConsensusMessage) -> None:
--- a/molespur/system/consensus/leading.py
+++ b/molespur/system/consensus/leading.py
@@ -38,7 +38,7 @@
         self.progress = {k: p for k, p in self.progress.items() if self.member(k)}
 
     def _progress_of(self, member: pb.Member) -> Progress:
-        fresh = Progress(next=self.log.last_index + 1, heard_at=self.now)
+        fresh = Progress(next_index=self.log.last_index + 1, last_reply_at_ms=self.now)
         return self.progress.setdefault(member.replica_id, fresh)
 
     def _broadcast(self) -> None:
@@ -50,28 +50,28 @@
     def _replicate(self, member: pb.Member) -> None:
         """Send what the member lacks, or an empty append while an earlier one is unanswered."""
         progress = self._progress_of(member)
-        progress.give_up(self.now, APPEND_RETRY_TIMEOUT_MS)
+        progress.reset_stale_inflight(self.now, APPEND_RETRY_TIMEOUT_MS)
         message = self._message(member.replica_id)
-        previous_term = self.log.term_at(progress.next - 1)
+        previous_term = self.log.term_at(progress.next_index - 1)
         if previous_term is None:
-            if progress.waiting_since is None:
+            if progress.inflight_since_ms is None:
                 self._send_snapshot(member, progress)
             else:
                 self._send_heartbeat(member)
             return
         request = message.append_request
-        request.previous_index, request.previous_term = progress.next - 1, previous_term
+        request.previous_index, request.previous_term = progress.next_index - 1, previous_term
         request.commit_index = self.log.commit_index
         request.sent_at_ms = int(self.now)
         request.read_round = self.reads.round
         self._claim(request, progress)
-        if progress.waiting_since is None:
-            entries = self.log.batch(progress.next)
+        if progress.inflight_since_ms is None:
+            entries = self.log.batch(progress.next_index)
             if entries:
                 request.entries.extend(entries)
-                progress.sent(self.now, entries[-1].index)
+                progress.start_inflight(self.now, entries[-1].index)
         last = request.entries[-1].index if request.entries else request.previous_index
-        progress.commit_told = min(request.commit_index, last)
+        progress.sent_commit_index = min(request.commit_index, last)
         self._send(member, message)
 
     def _claim(self, request: pb.AppendRequest, progress: Progress) -> None:
@@ -81,10 +81,10 @@
         round trip.
         """
         confirmed_at = self._confirmed_by_lead(self.now)
-        if progress.life and confirmed_at > float("-inf"):
-            before_reply = max(progress.heard_at - confirmed_at, 0.0)
-            request.life = progress.life
-            request.confirmed_at_ms = floor(progress.replied_at - before_reply)
+        if progress.peer_instance_id and confirmed_at > float("-inf"):
+            before_reply = max(progress.last_reply_at_ms - confirmed_at, 0.0)
+            request.life = progress.peer_instance_id
+            request.confirmed_at_ms = floor(progress.peer_replied_at_ms - before_reply)
 
     def _send_heartbeat(self, member: pb.Member) -> None:
         """An append that asks for nothing: while a snapshot is on its way the leader must still be heard."""
@@ -95,27 +95,27 @@
 
     def _send_snapshot(self, member: pb.Member, progress: Progress) -> None:
         """Send the next piece of the snapshot that is on its way, or begin with the newest one."""
-        if progress.snapshot is None:
-            progress.snapshot = SnapshotSender.create(self.log.snapshot, progress.held)
+        if progress.snapshot_sender is None:
+            progress.snapshot_sender = SnapshotSender.create(self.log.snapshot, progress.partial_snapshot)
         message = self._message(member.replica_id)
-        progress.snapshot.fill_chunk(message.install_snapshot)
+        progress.snapshot_sender.fill_chunk(message.install_snapshot)
         message.install_snapshot.sent_at_ms = int(self.now)
         message.install_snapshot.read_round = self.reads.round
-        progress.sent(self.now, progress.snapshot.snapshot.index)
+        progress.start_inflight(self.now, progress.snapshot_sender.snapshot.index)
         self._send(member, message)
 
     def _append_replied(self, message: pb.ConsensusMessage) -> None:
         progress = self.progress.get(message.sender)
         if self.role is not Role.LEADER or progress is None:
             return
-        progress.answered(self.now, message.append_reply)
+        progress.handle_reply(self.now, message.append_reply)
         self._confirm_reads()
         if message.append_reply.success:
             self._advance_commit()
         member = self.member(message.sender)
-        if member and progress.waiting_since is None and self._lacks(progress):
+        if member and progress.inflight_since_ms is None and self._lacks(progress):
             self._replicate(member)
-        if self.transfer_to == message.sender and progress.match == self.log.last_index:
+        if self.transfer_to == message.sender and progress.match_index == self.log.last_index:
             self._send(member, self._timeout_now(message.sender))
 
     def _lacks(self, progress: Progress) -> bool:
@@ -123,10 +123,12 @@
 
         it lacks entries, or does not know that some are committed.
         """
-        return progress.match < self.log.last_index or progress.commit_told < self.log.commit_index
+        return (
+            progress.match_index < self.log.last_index or progress.sent_commit_index < self.log.commit_index
+        )
 
     def _advance_commit(self) -> None:
-        majority = self._reached(self.log.durable_index, lambda progress: progress.match)
+        majority = self._reached(self.log.durable_index, lambda progress: progress.match_index)
         if majority is None or majority <= self.log.commit_index:
             return
         if self.log.holds(majority, self.hard_state.term):
@@ -144,7 +146,7 @@
         self._confirm_reads()
 
     def _confirm_reads(self) -> None:
-        answered = self._reached(self.reads.round, lambda progress: progress.acknowledged_round)
+        answered = self._reached(self.reads.round, lambda progress: progress.acked_read_round)
         if answered is not None:
             self._actions.extend(ReadConfirmed(number) for number in self.reads.confirmed(answered))
 
@@ -154,10 +156,10 @@
         if self.role is not Role.LEADER:
             return
         recent = [
-            (p.match, k)
+            (p.match_index, k)
             for k, p in self.progress.items()
             if k in self.voters()
-            and self.now - p.heard_at < 2 * HEARTBEAT_INTERVAL_MS + APPEND_RETRY_TIMEOUT_MS
+            and self.now - p.last_reply_at_ms < 2 * HEARTBEAT_INTERVAL_MS + APPEND_RETRY_TIMEOUT_MS
         ]
         if not recent:
             return
@@ -174,7 +176,9 @@
 
         The others may hear it although it does not hear them; they would wait for a whole election time-out.
         """
-        others = [(progress.match, name) for name, progress in self.progress.items() if name in self.voters()]
+        others = [
+            (progress.match_index, name) for name, progress in self.progress.items() if name in self.voters()
+        ]
         if others:
             _match, successor = max(others)
             self._send(self.member(successor), self._timeout_now(successor))
--- a/molespur/system/consensus/replica_state.py
+++ b/molespur/system/consensus/replica_state.py
@@ -184,7 +184,7 @@
 
     def _quorum_heard_at(self, now: float) -> float:
         """Send time of the newest append that a majority of the voters, this one included, has answered."""
-        heard_at = self._reached(now, lambda progress: progress.acknowledged_send)
+        heard_at = self._reached(now, lambda progress: progress.acked_sent_at_ms)
         return float("-inf") if heard_at is None else heard_at
 
     def _commit_to(self, index: int) -> None:
--- a/molespur/system/shards/membership_changes.py
+++ b/molespur/system/shards/membership_changes.py
@@ -133,22 +133,22 @@
         if name == replica.id:
             return replica.log.durable_index >= replica.log.commit_index
         progress = replica.progress.get(name)
-        return progress is not None and progress.match >= replica.log.commit_index
+        return progress is not None and progress.match_index >= replica.log.commit_index
 
     @staticmethod
     def _silence(replica: Replica, member: pb.Member, now: float) -> float:
         if member.replica_id == replica.id:
             return 0.0
         progress = replica.progress.get(member.replica_id)
-        return now - progress.heard_at if progress else 0.0
+        return now - progress.last_reply_at_ms if progress else 0.0
 
     def _caught_up(self, replica: Replica, member: pb.Member, now: float) -> bool:
         if member.replica_id in self._leaving:
             return False
         progress = replica.progress.get(member.replica_id)
-        if progress is None or progress.match == 0:
+        if progress is None or progress.match_index == 0:
             return False
-        near = progress.match + LAG_ENTRIES >= replica.log.last_index
+        near = progress.match_index + LAG_ENTRIES >= replica.log.last_index
         return near and self._silence(replica, member, now) < RECENT_MS
 
 
--- a/tests/system/test_exhaustive.py
+++ b/tests/system/test_exhaustive.py
@@ -72,7 +72,7 @@
                 tuple((e.term, e.data) for e in node.replica.log.entries), node.replica.log.commit_index,
                 frozenset(node.replica.votes), node.hard, len(node.unsynced),
                 tuple(sorted((i, e.term) for i, e in node.entries.items())),
-                tuple(sorted((n, p.match, p.next) for n, p in node.replica.progress.items())),
+                tuple(sorted((n, p.match_index, p.next_index) for n, p in node.replica.progress.items())),
             )
             for node in self.nodes
         )  # fmt: skip
--- a/tests/system/test_membership_changes.py
+++ b/tests/system/test_membership_changes.py
@@ -20,8 +20,8 @@
     joining = pb.Member(replica_id=LEARNER, rpc_address="10.0.0.9:1")
     group.leader().handle(raft.ChangeMembership(planner.admit(replica, joining)))
     group.run(60)
-    replica.progress[LEARNER].heard_at = group.now
-    replica.progress[LEARNER].match = replica.log.last_index
+    replica.progress[LEARNER].last_reply_at_ms = group.now
+    replica.progress[LEARNER].match_index = replica.log.last_index
     return group, replica, planner
 
 
@@ -63,14 +63,14 @@
     assert len(replica.voters()) == 4 and not planner.stands_by(replica, group.now)
     for name in replica.voters():
         if name != replica.id:
-            replica.progress[name].match = replica.log.last_index
+            replica.progress[name].match_index = replica.log.last_index
     assert not planner.may_leave(replica, leaving, group.now)
 
 
 def test_a_learner_that_lacks_entries_gets_no_vote(leader):
     group, replica, planner = leader
     planner.leaves(followers(replica)[0], group.now)
-    replica.progress[LEARNER].match = 1
+    replica.progress[LEARNER].match_index = 1
     replica.log.entries.extend(
         pb.LogEntry(index=replica.log.last_index + n, term=1, kind=pb.COMMAND) for n in range(1, 9)
     )
@@ -80,14 +80,14 @@
 def test_a_silent_voter_makes_room_only_while_the_leader_is_in_touch(leader):
     group, replica, planner = leader
     lost = followers(replica)[0]
-    replica.progress[lost].heard_at = group.now - LOST_AFTER_MS - 1.0
+    replica.progress[lost].last_reply_at_ms = group.now - LOST_AFTER_MS - 1.0
     assert voters_of(planner.plan(replica, group.now)) == set(replica.voters()) - {lost}
     for name in followers(replica):
-        replica.progress[name].heard_at = group.now - LOST_AFTER_MS - 1.0
+        replica.progress[name].last_reply_at_ms = group.now - LOST_AFTER_MS - 1.0
     assert planner.plan(replica, group.now) is None, "with all silent the fault may be here"
-    replica.progress[followers(replica)[1]].heard_at = group.now
+    replica.progress[followers(replica)[1]].last_reply_at_ms = group.now
     for name in followers(replica):
-        replica.progress[name].acknowledged_send = group.now - 5000.0
+        replica.progress[name].acked_sent_at_ms = group.now - 5000.0
     replica.led_since = group.now - 5000.0
     assert planner.plan(replica, group.now) is None, "no majority answers"
 
@@ -105,7 +105,7 @@
 def test_one_that_stops_saying_that_it_leaves_stays(leader):
     group, replica, planner = leader
     planner.leaves(followers(replica)[0], group.now)
-    replica.progress[LEARNER].heard_at = group.now + 2000.0
+    replica.progress[LEARNER].last_reply_at_ms = group.now + 2000.0
     assert planner.plan(replica, group.now + 2000.0) is None
 
 
@@ -125,9 +125,9 @@
 def test_who_leaves_with_nobody_to_take_its_vote_stays_while_it_holds_one_of_two_copies(leader):
     group, replica, planner = leader
     leaving, other = followers(replica)
-    replica.progress[LEARNER].heard_at = group.now - 5000.0  # nobody stands by
+    replica.progress[LEARNER].last_reply_at_ms = group.now - 5000.0  # nobody stands by
     assert planner.may_leave(replica, leaving, group.now)
-    replica.progress[other].match = replica.log.commit_index - 1
+    replica.progress[other].match_index = replica.log.commit_index - 1
     assert not planner.may_leave(replica, leaving, group.now)
 
 
