--- a/molespur/system/consensus/following.py
+++ b/molespur/system/consensus/following.py
@@ -32,7 +32,7 @@
         self._stamp(reply.append_reply)
         if self.log.term_at(previous) != previous_term:
             reply.append_reply.success = False
-            reply.append_reply.match_index = self.log.last_before_conflict(previous)
+            reply.append_reply.match_index = self.log.last_index_before_conflict(previous)
             self.receiving.report_partial(reply.append_reply)
             self._send(self._sender(message), reply)
             return
@@ -61,7 +61,7 @@
         reply.append_reply.sent_at_ms = sent.sent_at_ms
         reply.append_reply.read_round = sent.read_round
         self._stamp(reply.append_reply)
-        if self.log.holds(sent.index, sent.term):
+        if self.log.has_entry(sent.index, sent.term):
             # all that the snapshot stands for is there; entries after it may be acknowledged already
             self._commit_to(sent.index)
         elif sent.index > self.log.commit_index:
@@ -79,7 +79,7 @@
 
     def _install(self, snapshot: Snapshot) -> None:
         """Go by a snapshot in place of the log."""
-        self.log.install(snapshot)
+        self.log.install_snapshot(snapshot)
         record = self._write()
         record.snapshot, record.truncate_from = self.log.snapshot, 0
         self._actions.append(Restore(self.log.snapshot))
--- a/molespur/system/consensus/leading.py
+++ b/molespur/system/consensus/leading.py
@@ -66,7 +66,7 @@
         request.read_round = self.reads.round
         self._claim(request, progress)
         if progress.inflight_since_ms is None:
-            entries = self.log.batch(progress.next_index)
+            entries = self.log.entries_from(progress.next_index)
             if entries:
                 request.entries.extend(entries)
                 progress.start_inflight(self.now, entries[-1].index)
@@ -131,7 +131,7 @@
         majority = self._reached(self.log.durable_index, lambda progress: progress.match_index)
         if majority is None or majority <= self.log.commit_index:
             return
-        if self.log.holds(majority, self.hard_state.term):
+        if self.log.has_entry(majority, self.hard_state.term):
             self._commit_to(majority)
             self._broadcast()  # followers apply it at once, and their feeds with them
 
--- a/molespur/system/consensus/log.py
+++ b/molespur/system/consensus/log.py
@@ -5,8 +5,8 @@
 from ..rpc import molespur_pb2 as pb
 from .records import Snapshot
 
-ENTRIES_PER_APPEND = 64
-BYTES_PER_APPEND = 1 << 20
+MAX_ENTRIES_PER_APPEND = 64
+MAX_BYTES_PER_APPEND = 1 << 20
 
 
 class ReplicatedLog:
@@ -17,7 +17,7 @@
         self.entries = list(entries)
         self.commit_index = self.applied_index = snapshot.index
         self.memberships: list[tuple[int, pb.Membership]] = [(snapshot.index, snapshot.membership)]
-        self._note_memberships(self.entries)
+        self._record_memberships(self.entries)
         self.durable_index = self.last_index
 
     # -- What can be read ----------------------------------------------------------------------
@@ -54,11 +54,11 @@
         entry = self.entry(index)
         return entry.term if entry else None
 
-    def holds(self, index: int, term: int) -> bool:
+    def has_entry(self, index: int, term: int) -> bool:
         """Whether the log has an entry of this term at an index, and so all that its leader had before it."""
         return self.term_at(index) == term
 
-    def last_before_conflict(self, index: int) -> int:
+    def last_index_before_conflict(self, index: int) -> int:
         """Where a leader should go on whose entry at an index is not ours: one step back for each term.
 
         All up to the commit index is the same in every log, so it is never further back than that.
@@ -70,13 +70,13 @@
             index -= 1
         return index
 
-    def batch(self, first: int) -> list[pb.LogEntry]:
+    def entries_from(self, first: int) -> list[pb.LogEntry]:
         """Entries from an index on, as many as go into one message."""
         start = first - self.snapshot.index - 1
         batch, size = [], 0
-        for entry in self.entries[start : start + ENTRIES_PER_APPEND]:
+        for entry in self.entries[start : start + MAX_ENTRIES_PER_APPEND]:
             size += len(entry.data)
-            if batch and size > BYTES_PER_APPEND:
+            if batch and size > MAX_BYTES_PER_APPEND:
                 break
             batch.append(entry)
         return batch
@@ -91,20 +91,20 @@
             self.memberships = [m for m in self.memberships if m[0] < first]
             self.durable_index = min(self.durable_index, first - 1)
         self.entries.extend(entries)
-        self._note_memberships(entries)
+        self._record_memberships(entries)
 
-    def synced(self, index: int) -> None:
+    def mark_synced(self, index: int) -> None:
         """All up to an index is on the disk."""
         self.durable_index = max(self.durable_index, index)
 
-    def commit(self, index: int) -> list[pb.LogEntry]:
+    def commit_up_to(self, index: int) -> list[pb.LogEntry]:
         """All up to an index that the log has is committed: the entries to apply, in order."""
         self.commit_index = max(self.commit_index, min(index, self.last_index))
         first = self.applied_index + 1
         self.applied_index = self.commit_index
         return [self.entry(i) for i in range(first, self.commit_index + 1)]
 
-    def install(self, snapshot: Snapshot) -> None:
+    def install_snapshot(self, snapshot: Snapshot) -> None:
         """Go by a snapshot in place of all that the log holds; none of it is durable yet."""
         self.snapshot, self.entries = snapshot, []
         self.memberships = [(snapshot.index, snapshot.membership)]
@@ -119,7 +119,7 @@
         self.entries = [entry for entry in self.entries if entry.index > index]
         self.snapshot, self.memberships = snapshot, [(index, membership), *later]
 
-    def _note_memberships(self, entries: Sequence[pb.LogEntry]) -> None:
+    def _record_memberships(self, entries: Sequence[pb.LogEntry]) -> None:
         for entry in entries:
             if entry.kind == pb.MEMBERSHIP:
                 self.memberships.append((entry.index, pb.Membership.FromString(entry.data)))
--- a/molespur/system/consensus/replica.py
+++ b/molespur/system/consensus/replica.py
@@ -125,7 +125,7 @@
         for record in self._unsynced:
             if record.sequence <= sequence:
                 self.durable_term = max(self.durable_term, record.term)
-                self.log.synced(record.index)
+                self.log.mark_synced(record.index)
         self._unsynced = [record for record in self._unsynced if record.sequence > sequence]
         if self.role is Role.CANDIDATE:
             self._count_votes()
--- a/molespur/system/consensus/replica_state.py
+++ b/molespur/system/consensus/replica_state.py
@@ -188,7 +188,7 @@
         return float("-inf") if heard_at is None else heard_at
 
     def _commit_to(self, index: int) -> None:
-        self._actions.extend(Apply(entry) for entry in self.log.commit(index))
+        self._actions.extend(Apply(entry) for entry in self.log.commit_up_to(index))
 
     # -- Messages ------------------------------------------------------------------------------
 
