--- a/molespur/system/consensus/compaction.py
+++ b/molespur/system/consensus/compaction.py
@@ -1,40 +1,40 @@
-"""When a replica lets a snapshot stand for its log.  Pure.
+"""Decides when a replica replaces the start of its log by a snapshot.  Pure.
 
-The points of compaction follow from the log alone, so all replicas have snapshots of the same indexes with
-the same bytes, and a transfer that one leader has begun is finished by another one.
+The compaction points depend on the log alone.  All replicas therefore have snapshots of the same indexes with
+the same bytes, and a snapshot transfer that one leader has started can be finished by another leader.
 """
 
-LEAST_ENTRIES = 64
-LEAST_BYTES = 1 << 20
-STATE_BYTES_PER_ENTRY = 1 << 10  # a large state is written again only after as many more entries
+MIN_ENTRIES = 64
+MIN_LOG_BYTES = 1 << 20
+STATE_BYTES_PER_ENTRY = 1 << 10  # a larger state is written less often: the stride grows with it
 
 
 class CompactionSchedule:
-    """Looks at each applied entry of one log; the replica's state machine is deterministic.
+    """Finds the compaction points of one log; requires a deterministic state machine.
 
-    Indexes that are a multiple of the stride are points of compaction whatever came before, so replicas that
-    have counted bytes from different snapshots agree from the next one of these on.
+    Every index that is a multiple of the stride is a compaction point, whatever came before it.  Replicas
+    whose byte counts started at different snapshots therefore agree from the next such index on.
     """
 
-    def __init__(self, least_entries: int = LEAST_ENTRIES):
-        """`least_entries`: a power of two."""
-        self._least_entries = least_entries
-        self._log_bytes = 0  # of commands since the last point of compaction
+    def __init__(self, min_entries: int = MIN_ENTRIES):
+        """`min_entries` must be a power of two."""
+        self._min_entries = min_entries
+        self._log_bytes = 0  # bytes of the commands since the last compaction point
 
-    def applied(self, index: int, entry_bytes: int, state_bytes: int) -> bool:
-        """An entry has been applied, after which the state has this size; whether to compact up to it."""
+    def record_applied(self, index: int, entry_bytes: int, state_bytes: int) -> bool:
+        """Record an applied entry and the state size after it; return whether to compact up to this entry."""
         self._log_bytes += entry_bytes
-        heavy = self._log_bytes > max(LEAST_BYTES, 2 * state_bytes)
-        if not heavy and index % self._stride(state_bytes):
+        large_log = self._log_bytes > max(MIN_LOG_BYTES, 2 * state_bytes)
+        if not large_log and index % self._stride(state_bytes):
             return False
         self._log_bytes = 0
         return True
 
-    def restored(self) -> None:
-        """The state is that of a snapshot now, whose index was a point of compaction."""
+    def reset(self) -> None:
+        """Restart after a snapshot was installed; the index of a snapshot is a compaction point."""
         self._log_bytes = 0
 
     def _stride(self, state_bytes: int) -> int:
-        """Entries between two points: a power of two, so that strides of all sizes share points."""
-        entries = max(self._least_entries, state_bytes // STATE_BYTES_PER_ENTRY)
+        """Return the entries between two points: a power of two, so that different strides share points."""
+        entries = max(self._min_entries, state_bytes // STATE_BYTES_PER_ENTRY)
         return 1 << (entries - 1).bit_length()
--- a/molespur/system/shards/group.py
+++ b/molespur/system/shards/group.py
@@ -34,7 +34,7 @@
     history: ChangeHistory
     waiters: dict[int, Waiter] = field(default_factory=dict)
     reads: dict[int, asyncio.Future] = field(default_factory=dict)
-    schedule: CompactionSchedule = field(default_factory=CompactionSchedule)
+    compaction_schedule: CompactionSchedule = field(default_factory=CompactionSchedule)
     lag: LagLog = field(default_factory=LagLog)
     _compaction: raft.Compact | None = None
 
@@ -51,7 +51,7 @@
             if payload is not None:
                 self.history.append(entry.index, payload)
                 on_change(self.name, entry.index, payload)
-        if self.schedule.applied(entry.index, len(entry.data), self.state_machine.size):
+        if self.compaction_schedule.record_applied(entry.index, len(entry.data), self.state_machine.size):
             self._compaction = raft.Compact(entry.index, self.state_machine.snapshot())
         if waiter is None or waiter.outcome.done():
             return
@@ -64,7 +64,7 @@
         """Go by a snapshot in place of the state."""
         self.state_machine.restore(snapshot.state)
         self.history.reset(snapshot.index)
-        self.schedule.restored()
+        self.compaction_schedule.reset()
         self._compaction = None
 
     def fail_waiters(self) -> None:
--- a/tests/system/test_snapshots_across_leaders.py
+++ b/tests/system/test_snapshots_across_leaders.py
@@ -16,7 +16,7 @@
 from virtual_group import VirtualGroup
 
 from molespur.system.consensus import replica as raft
-from molespur.system.consensus.compaction import LEAST_ENTRIES, CompactionSchedule
+from molespur.system.consensus.compaction import MIN_ENTRIES, CompactionSchedule
 from molespur.system.consensus.snapshot_transfer import CHUNK_BYTES
 from molespur.system.shards.placement import CONFIGURATION
 
@@ -94,7 +94,9 @@
 
 def points(schedule, first, entries):
     """Indexes at which a schedule compacts a log of (entry bytes, state bytes), from an index on."""
-    return [i for i, sizes in enumerate(entries, start=1) if i >= first and schedule.applied(i, *sizes)]
+    return [
+        i for i, sizes in enumerate(entries, start=1) if i >= first and schedule.record_applied(i, *sizes)
+    ]
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -114,7 +116,7 @@
     """Such disks come from releases that compacted when the process looked."""
     entries = [(500, 20_000)] * 600
     one, other = (points(CompactionSchedule(), first, entries) for first in (37, 90))
-    assert one[-4:] == other[-4:] and one[-1] - one[-2] == LEAST_ENTRIES
+    assert one[-4:] == other[-4:] and one[-1] - one[-2] == MIN_ENTRIES
 
 
 def test_a_large_state_is_compacted_after_more_entries_and_bytes():
