--- a/molespur/system/consensus/following.py
+++ b/molespur/system/consensus/following.py
@@ -46,8 +46,10 @@
         self._send(self._sender(message), reply, after_write=bool(new) or self.log.durable_index < last)
         self._commit_to(min(request.commit_index, last))
         if request.life == self.life:
-            self.age.claimed(request.commit_index, min(float(request.confirmed_at_ms), self.now))
-        self.age.applied(self.log.applied_index)
+            self.state_age_tracker.add_claim(
+                request.commit_index, min(float(request.confirmed_at_ms), self.now)
+            )
+        self.state_age_tracker.advance_applied(self.log.applied_index)
 
     def _stamp(self, reply: pb.AppendReply) -> None:
         """Say when this replica replies, by its own clock: its leader's claims are made in that time."""
--- a/molespur/system/consensus/leading.py
+++ b/molespur/system/consensus/leading.py
@@ -148,7 +148,7 @@
     def _confirm_reads(self) -> None:
         answered = self._reached(self.reads.round, lambda progress: progress.acked_read_round)
         if answered is not None:
-            self._actions.extend(ReadConfirmed(number) for number in self.reads.confirmed(answered))
+            self._actions.extend(ReadConfirmed(number) for number in self.reads.confirm_up_to(answered))
 
     # -- Planned work ----------------------------------------------------------------------------
 
--- a/molespur/system/consensus/read_index.py
+++ b/molespur/system/consensus/read_index.py
@@ -1,4 +1,4 @@
-"""Reads of a leader that wait until a majority has confirmed its lead: ReadIndex.  Pure.
+"""ReadIndex: reads at a leader that wait until a majority has confirmed its leadership.  Pure.
 
 Source: Ongaro, 2014, section 6.4.
 """
@@ -9,17 +9,17 @@
 
 @dataclass(frozen=True, slots=True)
 class _PendingRead:
-    """A read that waits, and the first round whose answers confirm it."""
+    """A waiting read and the first round whose replies confirm it."""
 
     number: int
     round: int
 
 
 class ReadIndex:
-    """The reads under way at one leader.
+    """The pending reads of one leader.
 
-    Each read opens a round.  Appends carry the newest round and their answers echo it, so an answer proves
-    that its sender followed this leader after the read had begun.
+    Each read starts a new round.  Appends carry the newest round and their replies echo it, so a reply proves
+    that its sender followed this leader after the read had started.
     """
 
     def __init__(self):
@@ -27,19 +27,19 @@
         self._pending: deque[_PendingRead] = deque()
 
     def begin(self, number: int) -> None:
-        """A read has come; appends sent from now on carry its round."""
+        """Add a read; appends that are sent from now on carry its round."""
         self.round += 1
         self._pending.append(_PendingRead(number, self.round))
 
-    def confirmed(self, majority_round: int) -> list[int]:
-        """A majority has answered appends of this round: the numbers of the reads that may be answered."""
+    def confirm_up_to(self, majority_round: int) -> list[int]:
+        """Remove the reads that are confirmed once a majority has echoed this round; return their numbers."""
         numbers = []
         while self._pending and self._pending[0].round <= majority_round:
             numbers.append(self._pending.popleft().number)
         return numbers
 
-    def drop(self) -> list[int]:
-        """The lead is lost: the numbers of all reads that wait."""
+    def cancel_all(self) -> list[int]:
+        """Remove all pending reads because leadership was lost; return their numbers."""
         numbers = [pending.number for pending in self._pending]
         self._pending.clear()
         return numbers
--- a/molespur/system/consensus/replica_state.py
+++ b/molespur/system/consensus/replica_state.py
@@ -23,7 +23,7 @@
     UnsyncedRecord,
 )
 from .snapshot_transfer import SnapshotReceiver
-from .state_age import StateAge
+from .state_age import StateAgeTracker
 from .timing import (
     ELECTION_TIMEOUT_RANGE_MS,
     FIRST_ELECTION_TIMEOUT_RANGE_MS,
@@ -55,7 +55,7 @@
         self.votes: set[str] = set()
         self.reads = ReadIndex()
         self.receiving = SnapshotReceiver()
-        self.age = StateAge()
+        self.state_age_tracker = StateAgeTracker()
         self.life = life
         self.leader_contact_at_ms = float("-inf")
         self.leader_heard_last = ""  # who that was
@@ -93,7 +93,7 @@
 
     def state_age_ms(self, now: float) -> float:
         """Time since which something may have been acknowledged that the state here lacks; inf: any time."""
-        return now - max(self.age.confirmed_at, self._confirmed_by_lead(now))
+        return now - max(self.state_age_tracker.confirmed_at_ms, self._confirmed_by_lead(now))
 
     def _confirmed_by_lead(self, now: float) -> float:
         """The time before which nobody else can have acknowledged anything, by this replica's own lead."""
@@ -148,12 +148,12 @@
     def _set_role(self, role: Role, leader: str = "") -> None:
         """The one place where the role changes."""
         changed = (role, leader) != (self.role, self.leader_id)
-        self.age.confirm(self._confirmed_by_lead(self.now))
+        self.state_age_tracker.confirm(self._confirmed_by_lead(self.now))
         self.role, self.leader_id = role, leader
         if role is not Role.LEADER:
             self.transfer_to = ""
             self.progress = {}
-            self._actions.extend(ReadRefused(number) for number in self.reads.drop())
+            self._actions.extend(ReadRefused(number) for number in self.reads.cancel_all())
         if role is not Role.CANDIDATE and role is not Role.PRE_CANDIDATE:
             self.votes = set()
         if changed:
--- a/molespur/system/consensus/state_age.py
+++ b/molespur/system/consensus/state_age.py
@@ -1,45 +1,51 @@
-"""How old the state of a replica is: when it last certainly held all that had been acknowledged.  Pure.
+"""Tracks how old the state of a replica is.  Pure.
 
-A leader whose own term is committed holds all that was acknowledged before a majority answered it last.
-It tells its followers so, as a claim: "all that was acknowledged before this time is committed up to
-this index".  The time is on the follower's own clock, worked out from the follower's last reply, so that
-no two clocks are compared and a follower whose replies are lost grows old, however much it hears.  A
-claim holds once its index is applied.
+The age of a state is the time since which a write may have been acknowledged that the state lacks.
 
-Times are milliseconds on a steady clock.
+A leader that has committed an entry of its own term holds every write that was acknowledged before it sent
+the newest append that a majority has answered.  It sends this to each follower as a claim: "every write that
+was acknowledged before this time is committed up to this index".  A claim takes effect when the follower has
+applied that index.
+
+The time in a claim is on the follower's own clock, derived from the follower's last reply.  No clocks of two
+processes are compared, and the state of a follower whose replies are lost grows old even though it receives
+appends.
+
+Times are in milliseconds on a steady clock.
 """
 
 from collections import deque
 from dataclasses import dataclass
 
-MAX_CLAIMS = 32  # that wait for their index; a replica this far behind takes no further ones
+# Claims that wait until their index is applied.  A replica this far behind drops further claims.
+MAX_PENDING_CLAIMS = 32
 
 
 @dataclass(frozen=True, slots=True)
 class _Claim:
-    """All that was acknowledged before a time is committed up to an index."""
+    """Every write that was acknowledged before `at_ms` is committed up to `commit_index`."""
 
     commit_index: int
-    at: float
+    at_ms: float
 
 
-class StateAge:
-    """The newest time of which a replica holds everything."""
+class StateAgeTracker:
+    """The newest time before which a replica is known to hold every acknowledged write."""
 
     def __init__(self):
-        self.confirmed_at = float("-inf")
+        self.confirmed_at_ms = float("-inf")
         self._claims: deque[_Claim] = deque()
 
-    def claimed(self, commit_index: int, at: float) -> None:
-        """A leader has claimed something for this replica."""
-        if len(self._claims) < MAX_CLAIMS:
-            self._claims.append(_Claim(commit_index, at))
+    def add_claim(self, commit_index: int, at_ms: float) -> None:
+        """Add a claim that the leader has sent to this replica."""
+        if len(self._claims) < MAX_PENDING_CLAIMS:
+            self._claims.append(_Claim(commit_index, at_ms))
 
-    def applied(self, index: int) -> None:
-        """The state holds everything up to an index."""
+    def advance_applied(self, index: int) -> None:
+        """Let the claims up to an applied index take effect."""
         while self._claims and self._claims[0].commit_index <= index:
-            self.confirm(self._claims.popleft().at)
+            self.confirm(self._claims.popleft().at_ms)
 
-    def confirm(self, at: float) -> None:
-        """The state holds all that was acknowledged before a time."""
-        self.confirmed_at = max(self.confirmed_at, at)
+    def confirm(self, at_ms: float) -> None:
+        """Record that the state holds every write that was acknowledged before this time."""
+        self.confirmed_at_ms = max(self.confirmed_at_ms, at_ms)
--- a/tests/system/test_state_age_of_replicas.py
+++ b/tests/system/test_state_age_of_replicas.py
@@ -3,7 +3,7 @@
 from virtual_group import GROUP, VirtualGroup
 
 from molespur.system.consensus import replica as raft
-from molespur.system.consensus.state_age import MAX_CLAIMS, StateAge
+from molespur.system.consensus.state_age import MAX_PENDING_CLAIMS, StateAgeTracker
 from molespur.system.rpc import molespur_pb2 as pb
 
 CALM_MS = 450.0
@@ -43,27 +43,27 @@
 
 
 def test_a_claim_holds_once_its_index_is_applied():
-    state = StateAge()
-    state.claimed(5, 100.0)
-    state.claimed(9, 200.0)
-    state.applied(4)
-    assert state.confirmed_at == float("-inf")
-    state.applied(8)
-    assert state.confirmed_at == 100.0
-    state.applied(9)
-    assert state.confirmed_at == 200.0
+    state = StateAgeTracker()
+    state.add_claim(5, 100.0)
+    state.add_claim(9, 200.0)
+    state.advance_applied(4)
+    assert state.confirmed_at_ms == float("-inf")
+    state.advance_applied(8)
+    assert state.confirmed_at_ms == 100.0
+    state.advance_applied(9)
+    assert state.confirmed_at_ms == 200.0
     state.confirm(150.0)
-    assert state.confirmed_at == 200.0, "it never falls"
+    assert state.confirmed_at_ms == 200.0, "it never falls"
 
 
 def test_a_replica_that_is_far_behind_keeps_few_claims_and_gets_young_by_the_first_of_them():
-    state = StateAge()
-    for index in range(10 * MAX_CLAIMS):
-        state.claimed(index, float(index))
-    state.applied(3)
-    assert state.confirmed_at == 3.0
-    state.applied(10 * MAX_CLAIMS)
-    assert state.confirmed_at == MAX_CLAIMS - 1.0
+    state = StateAgeTracker()
+    for index in range(10 * MAX_PENDING_CLAIMS):
+        state.add_claim(index, float(index))
+    state.advance_applied(3)
+    assert state.confirmed_at_ms == 3.0
+    state.advance_applied(10 * MAX_PENDING_CLAIMS)
+    assert state.confirmed_at_ms == MAX_PENDING_CLAIMS - 1.0
 
 
 def test_a_follower_whose_answers_are_lost_grows_old_however_much_it_hears():
@@ -95,7 +95,7 @@
     group = settled()
     process = followers(group)[0]
     replica = process.replica
-    confirmed = replica.age.confirmed_at
+    confirmed = replica.state_age_tracker.confirmed_at_ms
     message = pb.ConsensusMessage(
         group=GROUP, sender=group.leader().replica.id, receiver=replica.id, term=replica.hard_state.term
     )
@@ -104,10 +104,10 @@
     request.commit_index, request.confirmed_at_ms = replica.log.commit_index, int(group.now + 60_000)
     request.life = replica.life + 1
     replica.handle(group.now, raft.Received(message))
-    assert replica.age.confirmed_at == confirmed
+    assert replica.state_age_tracker.confirmed_at_ms == confirmed
     request.life = replica.life
     replica.handle(group.now, raft.Received(message))
-    assert replica.age.confirmed_at == group.now, "and no claim reaches into the future"
+    assert replica.state_age_tracker.confirmed_at_ms == group.now, "and no claim reaches into the future"
 
 
 def test_a_leader_claims_nothing_before_an_entry_of_its_own_term_is_committed():
@@ -115,10 +115,10 @@
     group = led_anew()
     leader = group.leader()
     other = next(p for p in followers(group) if p.address not in group.down)
-    before = other.replica.age.confirmed_at
+    before = other.replica.state_age_tracker.confirmed_at_ms
     assert leader.replica.log.term_at(leader.replica.log.commit_index) != leader.replica.hard_state.term
     group.run(300)
-    assert other.replica.age.confirmed_at == before
+    assert other.replica.state_age_tracker.confirmed_at_ms == before
     group.run(2000)
     assert age(group, other) <= CALM_MS + 400.0
 
@@ -127,7 +127,7 @@
     """It proves that nobody else leads, not that this leader knows what those before it have committed."""
     group = led_anew()
     leader, other = group.leader(), next(p for p in followers(group) if p.address not in group.down)
-    confirmed = leader.replica.age.confirmed_at
+    confirmed = leader.replica.state_age_tracker.confirmed_at_ms
     reply = pb.ConsensusMessage(
         group=GROUP,
         sender=other.replica.id,
@@ -164,7 +164,7 @@
                 group.cut_links.clear()
             group.run(30)
             for process in group.processes.values():
-                certain = process.replica.age.confirmed_at
+                certain = process.replica.state_age_tracker.confirmed_at_ms
                 missing = [at for at, i in acknowledged if i > process.replica.log.applied_index]
                 assert all(at >= certain for at in missing), (seed, step, process.address)
         assert len(acknowledged) > 15
