--- a/molespur/system/consensus/elections.py
+++ b/molespur/system/consensus/elections.py
@@ -12,7 +12,7 @@
 )
 
 
-class Elections(ReplicaState):
+class ElectionMixin(ReplicaState):
     """A replica as a candidate and as a voter."""
 
     def _campaign(self, pre_vote: bool, transfer: bool = False) -> None:
@@ -23,16 +23,16 @@
             self.hard_state.term += 1
             self.hard_state.vote = self.id
             term = self.hard_state.term
-            self._write()
+            self._ensure_record()
             self._set_role(Role.CANDIDATE)
         self.votes = {self.id}
         never_led = self.leader_contact_at_ms == float("-inf")
-        self._reset_election(
+        self._reset_election_timer(
             FIRST_ELECTION_TIMEOUT_RANGE_MS if pre_vote and never_led else ELECTION_TIMEOUT_RANGE_MS
         )
         for member in self.log.membership.members:
             if member.voter and member.replica_id != self.id:
-                message = self._message(member.replica_id, term)
+                message = self._new_message(member.replica_id, term)
                 message.vote_request.pre_vote = pre_vote
                 message.vote_request.last_index = self.log.last_index
                 message.vote_request.last_term = self.log.last_term
@@ -43,28 +43,28 @@
             self._count_votes()
 
     def _count_votes(self) -> None:
-        if not self._majority(self.votes):
+        if not self._is_majority(self.votes):
             return
         if self.role is Role.PRE_CANDIDATE:
             self._campaign(pre_vote=False)
         elif self.role is Role.CANDIDATE and self.durable_term >= self.hard_state.term:
-            self._lead()
+            self._become_leader()
 
-    def _lead(self) -> None:
+    def _become_leader(self) -> None:
         voted = self.votes
         self._set_role(Role.LEADER, self.id)
-        self.led_since = self.now
+        self.leader_since_ms = self.now
         self.progress = {
             m.replica_id: Progress(next_index=self.log.last_index + 1, last_reply_at_ms=self.now)
             for m in self.log.membership.members
             if m.replica_id != self.id
         }
-        if self.leader_heard_last in self.progress and self.leader_heard_last not in voted:
+        if self.last_leader_id in self.progress and self.last_leader_id not in voted:
             # the leader before may be lost: its silence has lasted since it was heard of last
-            self.progress[self.leader_heard_last].last_reply_at_ms = self.leader_contact_at_ms
+            self.progress[self.last_leader_id].last_reply_at_ms = self.leader_contact_at_ms
         self._propose(pb.NOOP, b"")
 
-    def _vote_requested(self, message: pb.ConsensusMessage) -> None:
+    def _handle_vote_request(self, message: pb.ConsensusMessage) -> None:
         if self.role is Role.NON_MEMBER or not self.is_voter():
             return  # a replica that has forgotten its votes, or has none, takes part in no vote
         request = message.vote_request
@@ -72,7 +72,7 @@
         if heard and not request.leadership_transfer and message.sender != self.leader_id:
             return  # guards against a member that was cut off disturbing a group that has a leader
         if message.term < self.hard_state.term:
-            self._answer_vote(message, granted=False, after_write=False)
+            self._send_vote_reply(message, granted=False, after_write=False)
             return
         mine = (self.log.last_term, self.log.last_index)
         up_to_date = (request.last_term, request.last_index) >= mine
@@ -81,27 +81,27 @@
             if granted and self.role is Role.PRE_CANDIDATE and message.sender > self.id:
                 # both would get every pre-vote and split the votes: the one with the lower identity gives way
                 self._become_follower("")
-                self._reset_election(YIELD_TIMEOUT_RANGE_MS)
-            self._answer_vote(message, granted, after_write=False)
+                self._reset_election_timer(YIELD_TIMEOUT_RANGE_MS)
+            self._send_vote_reply(message, granted, after_write=False)
             return
         if message.term > self.hard_state.term:
             self._adopt_term(message.term)
         granted = up_to_date and self.hard_state.vote in ("", message.sender)
         if granted:
             self.hard_state.vote = message.sender
-            self._write()
-            self._reset_election()
-        self._answer_vote(message, granted, after_write=True)
+            self._ensure_record()
+            self._reset_election_timer()
+        self._send_vote_reply(message, granted, after_write=True)
 
-    def _answer_vote(self, message: pb.ConsensusMessage, granted: bool, after_write: bool) -> None:
+    def _send_vote_reply(self, message: pb.ConsensusMessage, granted: bool, after_write: bool) -> None:
         pre_vote = message.vote_request.pre_vote
         term = message.term if pre_vote and granted else self.hard_state.term
-        reply = self._message(message.sender, term)
+        reply = self._new_message(message.sender, term)
         reply.vote_reply.pre_vote = pre_vote
         reply.vote_reply.granted = granted
-        self._send(self._sender(message), reply, after_write)
+        self._send(self._sender_member(message), reply, after_write)
 
-    def _vote_replied(self, message: pb.ConsensusMessage) -> None:
+    def _handle_vote_reply(self, message: pb.ConsensusMessage) -> None:
         reply = message.vote_reply
         asked = Role.PRE_CANDIDATE if reply.pre_vote else Role.CANDIDATE
         expected = self.hard_state.term + (1 if reply.pre_vote else 0)
--- a/molespur/system/consensus/following.py
+++ b/molespur/system/consensus/following.py
@@ -5,17 +5,17 @@
 from .replica_state import ReplicaState
 
 
-class Following(ReplicaState):
+class FollowerMixin(ReplicaState):
     """A replica as a follower."""
 
-    def _heard_leader(self, message: pb.ConsensusMessage) -> None:
-        self.leader_contact_at_ms, self.leader_heard_last = self.now, message.sender
-        self._reset_election()
+    def _record_leader_contact(self, message: pb.ConsensusMessage) -> None:
+        self.leader_contact_at_ms, self.last_leader_id = self.now, message.sender
+        self._reset_election_timer()
         if self.role is not Role.FOLLOWER or self.leader_id != message.sender:
             self._become_follower(message.sender)
 
-    def _append_requested(self, message: pb.ConsensusMessage) -> None:
-        self._heard_leader(message)
+    def _handle_append_request(self, message: pb.ConsensusMessage) -> None:
+        self._record_leader_contact(message)
         request = message.append_request
         self.leader_commit_index = max(self.leader_commit_index, request.commit_index)
         previous = request.previous_index
@@ -26,15 +26,15 @@
             previous = self.log.snapshot.index
         else:
             entries, previous_term = list(request.entries), request.previous_term
-        reply = self._message(message.sender)
+        reply = self._new_message(message.sender)
         reply.append_reply.sent_at_ms = request.sent_at_ms
         reply.append_reply.read_round = request.read_round
-        self._stamp(reply.append_reply)
+        self._stamp_reply(reply.append_reply)
         if self.log.term_at(previous) != previous_term:
             reply.append_reply.success = False
             reply.append_reply.match_index = self.log.last_index_before_conflict(previous)
-            self.receiving.report_partial(reply.append_reply)
-            self._send(self._sender(message), reply)
+            self.snapshot_receiver.report_partial(reply.append_reply)
+            self._send(self._sender_member(message), reply)
             return
         last = request.entries[-1].index if request.entries else request.previous_index
         new = [e for e in entries if self.log.term_at(e.index) != e.term]
@@ -43,45 +43,47 @@
             self._become_follower(message.sender)
         reply.append_reply.success = True
         reply.append_reply.match_index = max(last, self.log.snapshot.index)
-        self._send(self._sender(message), reply, after_write=bool(new) or self.log.durable_index < last)
+        self._send(
+            self._sender_member(message), reply, after_write=bool(new) or self.log.durable_index < last
+        )
         self._commit_to(min(request.commit_index, last))
-        if request.life == self.life:
+        if request.life == self.instance_id:
             self.state_age_tracker.add_claim(
                 request.commit_index, min(float(request.confirmed_at_ms), self.now)
             )
         self.state_age_tracker.advance_applied(self.log.applied_index)
 
-    def _stamp(self, reply: pb.AppendReply) -> None:
+    def _stamp_reply(self, reply: pb.AppendReply) -> None:
         """Say when this replica replies, by its own clock: its leader's claims are made in that time."""
-        reply.replied_at_ms, reply.life = int(self.now), self.life
+        reply.replied_at_ms, reply.life = int(self.now), self.instance_id
 
-    def _snapshot_sent(self, message: pb.ConsensusMessage) -> None:
-        self._heard_leader(message)
+    def _handle_install_snapshot(self, message: pb.ConsensusMessage) -> None:
+        self._record_leader_contact(message)
         sent = message.install_snapshot
-        reply = self._message(message.sender)
+        reply = self._new_message(message.sender)
         reply.append_reply.success = True
         reply.append_reply.sent_at_ms = sent.sent_at_ms
         reply.append_reply.read_round = sent.read_round
-        self._stamp(reply.append_reply)
+        self._stamp_reply(reply.append_reply)
         if self.log.has_entry(sent.index, sent.term):
             # all that the snapshot stands for is there; entries after it may be acknowledged already
             self._commit_to(sent.index)
         elif sent.index > self.log.commit_index:
-            snapshot = self.receiving.receive_chunk(sent)
+            snapshot = self.snapshot_receiver.receive_chunk(sent)
             if snapshot is None:
                 reply.append_reply.match_index = self.log.snapshot.index
                 reply.append_reply.snapshot_index = sent.index
-                reply.append_reply.snapshot_received = self.receiving.received_bytes
-                self._send(self._sender(message), reply)
+                reply.append_reply.snapshot_received = self.snapshot_receiver.received_bytes
+                self._send(self._sender_member(message), reply)
                 return
-            self._install(snapshot)
+            self._install_snapshot(snapshot)
             self._become_follower(message.sender)
         reply.append_reply.match_index = self.log.commit_index
-        self._send(self._sender(message), reply, after_write=True)
+        self._send(self._sender_member(message), reply, after_write=True)
 
-    def _install(self, snapshot: Snapshot) -> None:
+    def _install_snapshot(self, snapshot: Snapshot) -> None:
         """Go by a snapshot in place of the log."""
         self.log.install_snapshot(snapshot)
-        record = self._write()
+        record = self._ensure_record()
         record.snapshot, record.truncate_from = self.log.snapshot, 0
         self._actions.append(Restore(self.log.snapshot))
--- a/molespur/system/consensus/leading.py
+++ b/molespur/system/consensus/leading.py
@@ -10,11 +10,11 @@
 from .timing import APPEND_RETRY_TIMEOUT_MS, HEARTBEAT_INTERVAL_MS, MAX_ELECTION_TIMEOUT_MS
 
 
-class Leading(ReplicaState):
+class LeaderMixin(ReplicaState):
     """A replica as the leader."""
 
     def _propose(self, kind: int, data: bytes) -> None:
-        if self.role is not Role.LEADER or (self.transfer_to and kind == pb.COMMAND):
+        if self.role is not Role.LEADER or (self.transfer_target_id and kind == pb.COMMAND):
             self._actions.append(NotLeader())
             return
         entry = pb.LogEntry(index=self.log.last_index + 1, term=self.hard_state.term, kind=kind, data=data)
@@ -24,7 +24,7 @@
         self._broadcast()
 
     def _change_membership(self, membership: pb.Membership) -> None:
-        if self.role is not Role.LEADER or not self.log.membership_committed or self.transfer_to:
+        if self.role is not Role.LEADER or not self.log.membership_committed or self.transfer_target_id:
             return
         if not self._own_term_committed():
             return
@@ -42,7 +42,7 @@
         return self.progress.setdefault(member.replica_id, fresh)
 
     def _broadcast(self) -> None:
-        self.heartbeat_at = self.now + HEARTBEAT_INTERVAL_MS
+        self.next_heartbeat_at_ms = self.now + HEARTBEAT_INTERVAL_MS
         for member in self.log.membership.members:
             if member.replica_id != self.id:
                 self._replicate(member)
@@ -51,7 +51,7 @@
         """Send what the member lacks, or an empty append while an earlier one is unanswered."""
         progress = self._progress_of(member)
         progress.reset_stale_inflight(self.now, APPEND_RETRY_TIMEOUT_MS)
-        message = self._message(member.replica_id)
+        message = self._new_message(member.replica_id)
         previous_term = self.log.term_at(progress.next_index - 1)
         if previous_term is None:
             if progress.inflight_since_ms is None:
@@ -64,7 +64,7 @@
         request.commit_index = self.log.commit_index
         request.sent_at_ms = int(self.now)
         request.read_round = self.reads.round
-        self._claim(request, progress)
+        self._add_claim(request, progress)
         if progress.inflight_since_ms is None:
             entries = self.log.entries_from(progress.next_index)
             if entries:
@@ -74,13 +74,13 @@
         progress.sent_commit_index = min(request.commit_index, last)
         self._send(member, message)
 
-    def _claim(self, request: pb.AppendRequest, progress: Progress) -> None:
+    def _add_claim(self, request: pb.AppendRequest, progress: Progress) -> None:
         """Tell a member up to when, by its own clock, the commit index holds all that was acknowledged.
 
         Never later than its last reply, so that no clock is taken to run like another for longer than a
         round trip.
         """
-        confirmed_at = self._confirmed_by_lead(self.now)
+        confirmed_at = self._confirmed_as_leader_at(self.now)
         if progress.peer_instance_id and confirmed_at > float("-inf"):
             before_reply = max(progress.last_reply_at_ms - confirmed_at, 0.0)
             request.life = progress.peer_instance_id
@@ -88,7 +88,7 @@
 
     def _send_heartbeat(self, member: pb.Member) -> None:
         """An append that asks for nothing: while a snapshot is on its way the leader must still be heard."""
-        message = self._message(member.replica_id)
+        message = self._new_message(member.replica_id)
         message.append_request.sent_at_ms = int(self.now)
         message.append_request.read_round = self.reads.round
         self._send(member, message)
@@ -97,14 +97,14 @@
         """Send the next piece of the snapshot that is on its way, or begin with the newest one."""
         if progress.snapshot_sender is None:
             progress.snapshot_sender = SnapshotSender.create(self.log.snapshot, progress.partial_snapshot)
-        message = self._message(member.replica_id)
+        message = self._new_message(member.replica_id)
         progress.snapshot_sender.fill_chunk(message.install_snapshot)
         message.install_snapshot.sent_at_ms = int(self.now)
         message.install_snapshot.read_round = self.reads.round
         progress.start_inflight(self.now, progress.snapshot_sender.snapshot.index)
         self._send(member, message)
 
-    def _append_replied(self, message: pb.ConsensusMessage) -> None:
+    def _handle_append_reply(self, message: pb.ConsensusMessage) -> None:
         progress = self.progress.get(message.sender)
         if self.role is not Role.LEADER or progress is None:
             return
@@ -113,12 +113,12 @@
         if message.append_reply.success:
             self._advance_commit()
         member = self.member(message.sender)
-        if member and progress.inflight_since_ms is None and self._lacks(progress):
+        if member and progress.inflight_since_ms is None and self._needs_append(progress):
             self._replicate(member)
-        if self.transfer_to == message.sender and progress.match_index == self.log.last_index:
-            self._send(member, self._timeout_now(message.sender))
+        if self.transfer_target_id == message.sender and progress.match_index == self.log.last_index:
+            self._send(member, self._timeout_now_message(message.sender))
 
-    def _lacks(self, progress: Progress) -> bool:
+    def _needs_append(self, progress: Progress) -> bool:
         """Whether a member can use a message now:
 
         it lacks entries, or does not know that some are committed.
@@ -128,7 +128,7 @@
         )
 
     def _advance_commit(self) -> None:
-        majority = self._reached(self.log.durable_index, lambda progress: progress.match_index)
+        majority = self._quorum_value(self.log.durable_index, lambda progress: progress.match_index)
         if majority is None or majority <= self.log.commit_index:
             return
         if self.log.has_entry(majority, self.hard_state.term):
@@ -137,7 +137,7 @@
 
     # -- Reads -------------------------------------------------------------------------------------
 
-    def _read(self, number: int) -> None:
+    def _begin_read(self, number: int) -> None:
         if self.role is not Role.LEADER or not self._own_term_committed():
             self._actions.append(ReadRefused(number))
             return
@@ -146,13 +146,13 @@
         self._confirm_reads()
 
     def _confirm_reads(self) -> None:
-        answered = self._reached(self.reads.round, lambda progress: progress.acked_read_round)
+        answered = self._quorum_value(self.reads.round, lambda progress: progress.acked_read_round)
         if answered is not None:
             self._actions.extend(ReadConfirmed(number) for number in self.reads.confirm_up_to(answered))
 
     # -- Planned work ----------------------------------------------------------------------------
 
-    def _transfer(self) -> None:
+    def _transfer_leadership(self) -> None:
         if self.role is not Role.LEADER:
             return
         recent = [
@@ -163,11 +163,11 @@
         ]
         if not recent:
             return
-        match, self.transfer_to = max(recent)
-        self.transfer_until = self.now + MAX_ELECTION_TIMEOUT_MS
-        member = self.member(self.transfer_to)
+        match, self.transfer_target_id = max(recent)
+        self.transfer_deadline_ms = self.now + MAX_ELECTION_TIMEOUT_MS
+        member = self.member(self.transfer_target_id)
         if match == self.log.last_index:
-            self._send(member, self._timeout_now(self.transfer_to))
+            self._send(member, self._timeout_now_message(self.transfer_target_id))
         else:
             self._replicate(member)
 
@@ -181,11 +181,11 @@
         ]
         if others:
             _match, successor = max(others)
-            self._send(self.member(successor), self._timeout_now(successor))
+            self._send(self.member(successor), self._timeout_now_message(successor))
         self._become_follower("")
-        self._reset_election()
+        self._reset_election_timer()
 
-    def _timeout_now(self, receiver: str) -> pb.ConsensusMessage:
-        message = self._message(receiver)
+    def _timeout_now_message(self, receiver: str) -> pb.ConsensusMessage:
+        message = self._new_message(receiver)
         message.timeout_now.SetInParent()
         return message
--- a/molespur/system/consensus/replica.py
+++ b/molespur/system/consensus/replica.py
@@ -9,9 +9,9 @@
 """
 
 from ..rpc import molespur_pb2 as pb
-from .elections import Elections
-from .following import Following
-from .leading import Leading
+from .elections import ElectionMixin
+from .following import FollowerMixin
+from .leading import LeaderMixin
 from .records import (
     Action,
     Apply,
@@ -47,54 +47,56 @@
 ]  # fmt: skip
 
 
-class Replica(Elections, Leading, Following):
+class Replica(ElectionMixin, LeaderMixin, FollowerMixin):
     """One replica of one group: the one entrance for events."""
 
     def handle(self, now: float, event: Event) -> list[Action]:
         """Take one event at time now (ms) and return the actions it calls for, in order."""
-        self.now, self._actions, self._persist = now, [], None
+        self.now, self._actions, self._record = now, [], None
         match event:
             case Tick():
-                self._tick()
+                self._handle_tick()
             case Received(message):
-                self._received(message)
+                self._handle_message(message)
             case Propose(data):
                 self._propose(pb.COMMAND, data)
             case Persisted(sequence):
-                self._persisted(sequence)
+                self._handle_persisted(sequence)
             case TransferLeadership():
-                self._transfer()
+                self._transfer_leadership()
             case ChangeMembership(membership):
                 self._change_membership(membership)
             case Compact(index, state):
                 self._compact(index, state)
             case Read(number):
-                self._read(number)
-        if self._persist is not None:
+                self._begin_read(number)
+        if self._record is not None:
             self._sequence += 1
-            self._persist.sequence = self._sequence
-            self._unsynced.append(UnsyncedRecord(self._sequence, self.log.last_index, self.hard_state.term))
-            self._actions.append(self._persist)
+            self._record.sequence = self._sequence
+            self._unsynced_records.append(
+                UnsyncedRecord(self._sequence, self.log.last_index, self.hard_state.term)
+            )
+            self._actions.append(self._record)
         return self._actions
 
-    def _tick(self) -> None:
+    def _handle_tick(self) -> None:
         if self.role is Role.LEADER:
             if not self.has_quorum_contact(self.now):
                 self._step_down()
-            elif self.now >= self.heartbeat_at:
+            elif self.now >= self.next_heartbeat_at_ms:
                 self._broadcast()
-            if self.transfer_to and self.now >= self.transfer_until:
+            if self.transfer_target_id and self.now >= self.transfer_deadline_ms:
                 self._become_follower("")  # its successor may lead without this replica knowing
-        elif self.role is not Role.NON_MEMBER and self.now >= self.election_at:
+        elif self.role is not Role.NON_MEMBER and self.now >= self.election_deadline_ms:
             if self.is_voter():
                 self._campaign(pre_vote=True)
             else:
-                self._reset_election()
+                self._reset_election_timer()
 
-    def _received(self, message: pb.ConsensusMessage) -> None:
+    def _handle_message(self, message: pb.ConsensusMessage) -> None:
         kind = message.WhichOneof("body")
         if kind == "vote_request":
-            self._vote_requested(message)
+            self._handle_vote_request(message)
             return
         if message.term > self.hard_state.term:
             if kind == "vote_reply" and message.vote_reply.pre_vote and message.vote_reply.granted:
@@ -103,30 +105,30 @@
                 self._adopt_term(message.term)
         elif message.term < self.hard_state.term:
             if kind in ("append_request", "install_snapshot"):
-                reply = self._message(message.sender)
+                reply = self._new_message(message.sender)
                 reply.append_reply.success = False
                 reply.append_reply.match_index = self.log.last_index
-                self._send(self._sender(message), reply)
+                self._send(self._sender_member(message), reply)
             return
         match kind:
             case "vote_reply":
-                self._vote_replied(message)
+                self._handle_vote_reply(message)
             case "append_request":
-                self._append_requested(message)
+                self._handle_append_request(message)
             case "append_reply":
-                self._append_replied(message)
+                self._handle_append_reply(message)
             case "install_snapshot":
-                self._snapshot_sent(message)
+                self._handle_install_snapshot(message)
             case "timeout_now":
                 if self.is_voter() and self.role is not Role.LEADER:
                     self._campaign(pre_vote=False, transfer=True)
 
-    def _persisted(self, sequence: int) -> None:
-        for record in self._unsynced:
+    def _handle_persisted(self, sequence: int) -> None:
+        for record in self._unsynced_records:
             if record.sequence <= sequence:
                 self.durable_term = max(self.durable_term, record.term)
                 self.log.mark_synced(record.index)
-        self._unsynced = [record for record in self._unsynced if record.sequence > sequence]
+        self._unsynced_records = [record for record in self._unsynced_records if record.sequence > sequence]
         if self.role is Role.CANDIDATE:
             self._count_votes()
         elif self.role is Role.LEADER:
@@ -136,4 +138,4 @@
         if not self.log.snapshot.index < index <= self.log.applied_index:
             return
         self.log.compact(index, state)
-        self._write().snapshot = self.log.snapshot
+        self._ensure_record().snapshot = self.log.snapshot
--- a/molespur/system/consensus/replica_state.py
+++ b/molespur/system/consensus/replica_state.py
@@ -44,9 +44,9 @@
         snapshot: Snapshot | None = None,
         entries: Sequence[pb.LogEntry] = (),
         now: float = 0.0,
-        life: int = 1,
+        instance_id: int = 1,
     ):
-        """`life`: a number, not 0, that no other process which has this replica's identity uses."""
+        """`instance_id`: a number, not 0, that no other process which has this replica's identity uses."""
         self.group, self.id, self.random = group, replica_id, random
         self.hard_state = hard_state or HardState()
         self.log = ReplicatedLog(snapshot or Snapshot(), entries)
@@ -54,23 +54,23 @@
         self.progress: dict[str, Progress] = {}
         self.votes: set[str] = set()
         self.reads = ReadIndex()
-        self.receiving = SnapshotReceiver()
+        self.snapshot_receiver = SnapshotReceiver()
         self.state_age_tracker = StateAgeTracker()
-        self.life = life
+        self.instance_id = instance_id
         self.leader_contact_at_ms = float("-inf")
-        self.leader_heard_last = ""  # who that was
+        self.last_leader_id = ""  # who that was
         self.leader_commit_index = 0  # the highest that a leader has named; it may be beyond the own log
-        self.transfer_to = ""
+        self.transfer_target_id = ""
         self.now = now
-        self.heartbeat_at = now
+        self.next_heartbeat_at_ms = now
         self._actions: list[Action] = []
-        self._persist: Persist | None = None
-        self._unsynced: list[UnsyncedRecord] = []
+        self._record: Persist | None = None
+        self._unsynced_records: list[UnsyncedRecord] = []
         self._sequence = 0
         self.durable_term = self.hard_state.term
-        self.led_since = self.transfer_until = now
+        self.leader_since_ms = self.transfer_deadline_ms = now
         self._set_role(Role.FOLLOWER if self.log.membership.members else Role.NON_MEMBER)
-        self._reset_election(FIRST_ELECTION_TIMEOUT_RANGE_MS)
+        self._reset_election_timer(FIRST_ELECTION_TIMEOUT_RANGE_MS)
         self._actions.clear()
 
     def member(self, replica_id: str) -> pb.Member | None:
@@ -88,27 +88,27 @@
     def ms_since_leader_contact(self, now: float) -> float:
         """Time since the leader was heard of; 0 at a leader with a lease."""
         if self.role is Role.LEADER:
-            return max(now - self._quorum_heard_at(now), 0.0)
+            return max(now - self._quorum_contact_at(now), 0.0)
         return now - self.leader_contact_at_ms
 
     def state_age_ms(self, now: float) -> float:
         """Time since which something may have been acknowledged that the state here lacks; inf: any time."""
-        return now - max(self.state_age_tracker.confirmed_at_ms, self._confirmed_by_lead(now))
+        return now - max(self.state_age_tracker.confirmed_at_ms, self._confirmed_as_leader_at(now))
 
-    def _confirmed_by_lead(self, now: float) -> float:
+    def _confirmed_as_leader_at(self, now: float) -> float:
         """The time before which nobody else can have acknowledged anything, by this replica's own lead."""
         if self.role is not Role.LEADER or not self._own_term_committed():
             return float("-inf")
-        return self._quorum_heard_at(now)
+        return self._quorum_contact_at(now)
 
     def has_lease(self, now: float) -> bool:
         """Whether a majority has followed this leader so lately that, unless voters restart, no other leads.
 
         Good for duties that a fence guards; reads ask a majority instead (`Read`).
         """
-        if self.role is not Role.LEADER or self.transfer_to:
+        if self.role is not Role.LEADER or self.transfer_target_id:
             return False
-        return self._own_term_committed() and now - self._quorum_heard_at(now) < LEADER_LEASE_MS
+        return self._own_term_committed() and now - self._quorum_contact_at(now) < LEADER_LEASE_MS
 
     def has_quorum_contact(self, now: float) -> bool:
         """Whether a proposal may be taken: this replica leads, and no other can have been elected since.
@@ -118,7 +118,7 @@
         """
         if self.role is not Role.LEADER:
             return False
-        return min(now - self._quorum_heard_at(now), now - self.led_since) < MIN_ELECTION_TIMEOUT_MS
+        return min(now - self._quorum_contact_at(now), now - self.leader_since_ms) < MIN_ELECTION_TIMEOUT_MS
 
     def _own_term_committed(self) -> bool:
         """Whether an entry of the own term is committed, and so all that earlier terms have committed."""
@@ -130,28 +130,28 @@
         """Put entries at the end of the log, replacing all from the first one's index on."""
         first = entries[0].index
         self.log.append(entries)
-        for unsynced in self._unsynced:
+        for unsynced in self._unsynced_records:
             unsynced.index = min(unsynced.index, first - 1)
-        record = self._write()
+        record = self._ensure_record()
         record.truncate_from = first
         record.entries = list(entries)
 
-    def _write(self) -> Persist:
+    def _ensure_record(self) -> Persist:
         """The record of this event's changes, which holds the hard state as it is now."""
-        if self._persist is None:
-            self._persist = Persist(self.hard_state)
-        self._persist.hard_state = HardState(self.hard_state.term, self.hard_state.vote)
-        return self._persist
+        if self._record is None:
+            self._record = Persist(self.hard_state)
+        self._record.hard_state = HardState(self.hard_state.term, self.hard_state.vote)
+        return self._record
 
     # -- Roles ---------------------------------------------------------------------------------
 
     def _set_role(self, role: Role, leader: str = "") -> None:
         """The one place where the role changes."""
         changed = (role, leader) != (self.role, self.leader_id)
-        self.state_age_tracker.confirm(self._confirmed_by_lead(self.now))
+        self.state_age_tracker.confirm(self._confirmed_as_leader_at(self.now))
         self.role, self.leader_id = role, leader
         if role is not Role.LEADER:
-            self.transfer_to = ""
+            self.transfer_target_id = ""
             self.progress = {}
             self._actions.extend(ReadRefused(number) for number in self.reads.cancel_all())
         if role is not Role.CANDIDATE and role is not Role.PRE_CANDIDATE:
@@ -159,32 +159,32 @@
         if changed:
             self._actions.append(RoleChanged(role, self.member(leader)))
 
-    def _reset_election(self, between: tuple[float, float] = ELECTION_TIMEOUT_RANGE_MS) -> None:
+    def _reset_election_timer(self, between: tuple[float, float] = ELECTION_TIMEOUT_RANGE_MS) -> None:
         low, high = between
-        self.election_at = self.now + low + (high - low) * self.random.random()
+        self.election_deadline_ms = self.now + low + (high - low) * self.random.random()
 
     def _adopt_term(self, term: int) -> None:
         self.hard_state.term, self.hard_state.vote = term, ""
-        self._write()
+        self._ensure_record()
         self._become_follower("")
 
     def _become_follower(self, leader: str) -> None:
         known = bool(self.log.membership.members)
         self._set_role(Role.FOLLOWER if known else Role.NON_MEMBER, leader)
 
-    def _majority(self, identities) -> bool:
+    def _is_majority(self, identities) -> bool:
         voters = self.voters()
         return sum(v in identities for v in voters) * 2 > len(voters)
 
-    def _reached(self, own: float, of: Callable[[Progress], float]) -> float | None:
+    def _quorum_value(self, own: float, of: Callable[[Progress], float]) -> float | None:
         """The most that a majority of the voters has reached, this one's own value included."""
         reached = {name: of(progress) for name, progress in self.progress.items()}
         reached[self.id] = own
         return majority_value(reached.get(voter, float("-inf")) for voter in self.voters())
 
-    def _quorum_heard_at(self, now: float) -> float:
+    def _quorum_contact_at(self, now: float) -> float:
         """Send time of the newest append that a majority of the voters, this one included, has answered."""
-        heard_at = self._reached(now, lambda progress: progress.acked_sent_at_ms)
+        heard_at = self._quorum_value(now, lambda progress: progress.acked_sent_at_ms)
         return float("-inf") if heard_at is None else heard_at
 
     def _commit_to(self, index: int) -> None:
@@ -192,7 +192,7 @@
 
     # -- Messages ------------------------------------------------------------------------------
 
-    def _message(self, receiver: str, term: int | None = None) -> pb.ConsensusMessage:
+    def _new_message(self, receiver: str, term: int | None = None) -> pb.ConsensusMessage:
         term = self.hard_state.term if term is None else term
         return pb.ConsensusMessage(group=self.group, sender=self.id, receiver=receiver, term=term)
 
@@ -202,11 +202,11 @@
         if member is None:
             return
         if after_write:
-            self._write().send_after_sync.append(Send(member, message))
+            self._ensure_record().send_after_sync.append(Send(member, message))
         else:
             self._actions.append(Send(member, message))
 
-    def _sender(self, message: pb.ConsensusMessage) -> pb.Member | None:
+    def _sender_member(self, message: pb.ConsensusMessage) -> pb.Member | None:
         """The member to answer; one that this replica does not know yet is answered by its identity."""
         known = self.member(message.sender)
         return known or pb.Member(replica_id=message.sender, rpc_address=message.sender.partition("#")[0])
--- a/molespur/system/shards/leaving.py
+++ b/molespur/system/shards/leaving.py
@@ -64,6 +64,6 @@
         vote_is_next = (
             planner.stands_by(replica, self.clock()) and len(replica.voters()) <= planner.voters_wanted
         )
-        if not vote_is_next and not replica.transfer_to and replica.log.membership_committed:
+        if not vote_is_next and not replica.transfer_target_id and replica.log.membership_committed:
             self.host.transfer_lead(group)
         return True
--- a/tests/system/test_exhaustive.py
+++ b/tests/system/test_exhaustive.py
@@ -90,7 +90,7 @@
     def campaign(self, number):
         self.now += CAMPAIGN_MS
         self.bounds = Bounds(self.bounds.campaigns - 1, self.bounds.proposals, self.bounds.crashes)
-        self.nodes[number].replica.election_at = self.now
+        self.nodes[number].replica.election_deadline_ms = self.now
         self._handle(number, raft.Tick())
 
     def propose(self, number):
@@ -226,7 +226,7 @@
 
 
 def test_the_search_finds_a_vote_that_is_given_twice(monkeypatch):
-    monkeypatch.setattr(raft.Replica, "_vote_requested", _careless_vote)
+    monkeypatch.setattr(raft.Replica, "_handle_vote_request", _careless_vote)
     with pytest.raises(AssertionError, match="two leaders"):
         world = fresh(campaigns=2, proposals=0, crashes=0)
         search(world.after("campaign", 0).after("campaign", 1), 20_000)
@@ -236,7 +236,7 @@
     """Votes for everybody, in any term."""
     if message.term > self.hard_state.term and not message.vote_request.pre_vote:
         self._adopt_term(message.term)
-    reply = self._message(message.sender, message.term)
+    reply = self._new_message(message.sender, message.term)
     reply.vote_reply.pre_vote = message.vote_request.pre_vote
     reply.vote_reply.granted = True
-    self._send(self._sender(message), reply)
+    self._send(self._sender_member(message), reply)
--- a/tests/system/test_membership_changes.py
+++ b/tests/system/test_membership_changes.py
@@ -88,7 +88,7 @@
     replica.progress[followers(replica)[1]].last_reply_at_ms = group.now
     for name in followers(replica):
         replica.progress[name].acked_sent_at_ms = group.now - 5000.0
-    replica.led_since = group.now - 5000.0
+    replica.leader_since_ms = group.now - 5000.0
     assert planner.plan(replica, group.now) is None, "no majority answers"
 
 
--- a/tests/system/test_state_age_of_replicas.py
+++ b/tests/system/test_state_age_of_replicas.py
@@ -102,10 +102,10 @@
     request = message.append_request
     request.previous_index, request.previous_term = replica.log.last_index, replica.log.last_term
     request.commit_index, request.confirmed_at_ms = replica.log.commit_index, int(group.now + 60_000)
-    request.life = replica.life + 1
+    request.life = replica.instance_id + 1
     replica.handle(group.now, raft.Received(message))
     assert replica.state_age_tracker.confirmed_at_ms == confirmed
-    request.life = replica.life
+    request.life = replica.instance_id
     replica.handle(group.now, raft.Received(message))
     assert replica.state_age_tracker.confirmed_at_ms == group.now, "and no claim reaches into the future"
 
--- a/tests/system/test_votes.py
+++ b/tests/system/test_votes.py
@@ -78,7 +78,7 @@
     """Else both would get every pre-vote, and split the votes."""
     lower, higher = pre_candidate(NAMES[0]), pre_candidate(NAMES[1])
     assert asked(lower, higher.id, term=TERM + 1, pre_vote=True) == (True, False)
-    assert lower.role is raft.Role.FOLLOWER and lower.election_at > lower.now
+    assert lower.role is raft.Role.FOLLOWER and lower.election_deadline_ms > lower.now
     assert asked(higher, lower.id, term=TERM + 1, pre_vote=True) == (True, False)
     assert higher.role is raft.Role.PRE_CANDIDATE
 
