--- a/molespur/system/consensus/log.py
+++ b/molespur/system/consensus/log.py
@@ -1,4 +1,4 @@
-"""The log of a replica: a snapshot, the entries after it, how far they are synced, committed, applied."""
+"""The log of a replica: a snapshot, the entries after it, and the durable, committed and applied indexes."""
 
 from collections.abc import Sequence
 
@@ -10,7 +10,7 @@
 
 
 class ReplicatedLog:
-    """Indices count from 1; the snapshot stands for all entries up to its own index."""
+    """A log whose indexes start at 1; the snapshot replaces all entries up to its own index."""
 
     def __init__(self, snapshot: Snapshot, entries: Sequence[pb.LogEntry]):
         self.snapshot = snapshot
@@ -20,48 +20,53 @@
         self._record_memberships(self.entries)
         self.durable_index = self.last_index
 
-    # -- What can be read ----------------------------------------------------------------------
+    # -- Queries ----------------------------------------------------------------------
 
     @property
     def last_index(self) -> int:
-        """Index of the last entry."""
+        """Return the index of the last entry."""
         return self.entries[-1].index if self.entries else self.snapshot.index
 
     @property
     def last_term(self) -> int:
-        """Term of the last entry."""
+        """Return the term of the last entry."""
         return self.entries[-1].term if self.entries else self.snapshot.term
 
     @property
     def membership(self) -> pb.Membership:
-        """The newest membership, committed or not."""
+        """Return the newest membership, committed or not."""
         return self.memberships[-1][1]
 
     @property
     def membership_committed(self) -> bool:
-        """Whether the newest membership is committed."""
+        """Return whether the newest membership is committed."""
         return self.memberships[-1][0] <= self.commit_index
 
     def entry(self, index: int) -> pb.LogEntry | None:
-        """The entry of an index; None where the log has none, or not any more."""
+        """Return the entry at an index; None if the log does not have it or has compacted it."""
         position = index - self.snapshot.index - 1
         return self.entries[position] if 0 <= position < len(self.entries) else None
 
     def term_at(self, index: int) -> int | None:
-        """The term of an index; None where the log does not tell."""
+        """Return the term of the entry at an index; None if the log does not know it."""
         if index == self.snapshot.index:
             return self.snapshot.term
         entry = self.entry(index)
         return entry.term if entry else None
 
     def has_entry(self, index: int, term: int) -> bool:
-        """Whether the log has an entry of this term at an index, and so all that its leader had before it."""
+        """Return whether the entry at an index has this term.
+
+        If so, all entries before it are the same as in the log of the leader of that term.
+        """
         return self.term_at(index) == term
 
     def last_index_before_conflict(self, index: int) -> int:
-        """Where a leader should go on whose entry at an index is not ours: one step back for each term.
+        """Return the index after which a leader should continue if its entry at `index` does not match.
 
-        All up to the commit index is the same in every log, so it is never further back than that.
+        Each call skips back over all entries of one term, so that the leader needs one round trip for each
+        conflicting term instead of one for each entry.  The result is never below the commit index, because
+        all logs have the same entries up to there.
         """
         if index > self.last_index:
             return self.last_index
@@ -71,7 +76,7 @@
         return index
 
     def entries_from(self, first: int) -> list[pb.LogEntry]:
-        """Entries from an index on, as many as go into one message."""
+        """Return entries from an index on, as many as fit into one append."""
         start = first - self.snapshot.index - 1
         batch, size = [], 0
         for entry in self.entries[start : start + MAX_ENTRIES_PER_APPEND]:
@@ -81,10 +86,10 @@
             batch.append(entry)
         return batch
 
-    # -- Changes -------------------------------------------------------------------------------
+    # -- Updates -------------------------------------------------------------------------------
 
     def append(self, entries: Sequence[pb.LogEntry]) -> None:
-        """Put entries at the end, in place of all from the first one's index on."""
+        """Append entries, replacing all entries from the index of the first one on."""
         first = entries[0].index
         if first <= self.last_index:
             del self.entries[first - self.snapshot.index - 1 :]
@@ -94,25 +99,25 @@
         self._record_memberships(entries)
 
     def mark_synced(self, index: int) -> None:
-        """All up to an index is on the disk."""
+        """Record that all entries up to an index are on disk."""
         self.durable_index = max(self.durable_index, index)
 
     def commit_up_to(self, index: int) -> list[pb.LogEntry]:
-        """All up to an index that the log has is committed: the entries to apply, in order."""
+        """Commit the entries up to an index, as far as the log has them; return those to apply, in order."""
         self.commit_index = max(self.commit_index, min(index, self.last_index))
         first = self.applied_index + 1
         self.applied_index = self.commit_index
         return [self.entry(i) for i in range(first, self.commit_index + 1)]
 
     def install_snapshot(self, snapshot: Snapshot) -> None:
-        """Go by a snapshot in place of all that the log holds; none of it is durable yet."""
+        """Replace the log by a snapshot that is not durable yet."""
         self.snapshot, self.entries = snapshot, []
         self.memberships = [(snapshot.index, snapshot.membership)]
         self.commit_index = self.applied_index = snapshot.index
         self.durable_index = 0
 
     def compact(self, index: int, state: bytes) -> None:
-        """Let a snapshot of this state stand for all up to an applied index."""
+        """Replace all entries up to an applied index by a snapshot of this state."""
         membership = [m for i, m in self.memberships if i <= index][-1]
         later = [m for m in self.memberships if m[0] > index]
         snapshot = Snapshot(index, self.term_at(index) or 0, membership, state)
--- a/molespur/system/consensus/records.py
+++ b/molespur/system/consensus/records.py
@@ -1,4 +1,4 @@
-"""The plain data of a replica: its roles, the events that go in, the actions that come out."""
+"""Data types of a replica: its roles, its input events and its output actions."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -8,9 +8,9 @@
 
 
 class Role(Enum):
-    """The states of a replica."""
+    """The role of a replica in its group."""
 
-    NON_MEMBER = "outsider"  # no membership is known: neither votes nor campaigns
+    NON_MEMBER = "outsider"  # knows no membership; neither votes nor campaigns
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
     CANDIDATE = "candidate"
@@ -27,40 +27,40 @@
 
 @dataclass(slots=True)
 class Received:
-    """A message of another replica has arrived."""
+    """A message from another replica has arrived."""
 
     message: pb.ConsensusMessage
 
 
 @dataclass(slots=True)
 class Propose:
-    """Append a command, if this replica leads; answered by `Proposed` or `NotLeader`."""
+    """Append a command if this replica is the leader; results in `Proposed` or `NotLeader`."""
 
     data: bytes
 
 
 @dataclass(slots=True)
 class Persisted:
-    """The record of this sequence number, and all before it, are on the disk."""
+    """The record with this sequence number and all records before it are on disk."""
 
     sequence: int
 
 
 @dataclass(slots=True)
 class TransferLeadership:
-    """Hand the lead to the most advanced voter that was heard of lately."""
+    """Transfer leadership to the most up-to-date voter among those that have replied recently."""
 
 
 @dataclass(slots=True)
 class ChangeMembership:
-    """Append another membership; at most one voter may differ."""
+    """Append a new membership; it may differ from the current one by at most one voter."""
 
     membership: pb.Membership
 
 
 @dataclass(slots=True)
 class Compact:
-    """Drop the log up to an applied index, whose state is given."""
+    """Replace the log up to an applied index by a snapshot of the state at that index."""
 
     index: int
     state: bytes
@@ -68,7 +68,7 @@
 
 @dataclass(slots=True)
 class Read:
-    """Confirm that the state may be read; answered by `ReadConfirmed` or `ReadRefused` with its number."""
+    """Confirm that the state may be read; results in `ReadConfirmed` or `ReadRefused` with this number."""
 
     number: int
 
@@ -88,7 +88,7 @@
 
 @dataclass(slots=True)
 class HardState:
-    """What a replica must not forget: its term and its vote in it."""
+    """The current term and the vote in it; durable before any message that depends on them is sent."""
 
     term: int = 0
     vote: str = ""
@@ -96,7 +96,7 @@
 
 @dataclass(slots=True)
 class Snapshot:
-    """The state after an index, which stands for the log up to it."""
+    """The state at an index; replaces the log up to that index."""
 
     index: int = 0
     term: int = 0
@@ -106,9 +106,10 @@
 
 @dataclass(slots=True)
 class Persist:
-    """Write to the disk: hard state, a snapshot, and entries.
+    """Write the hard state, a snapshot and entries to disk.
 
-    `truncate_from`: the index from which on earlier entries are dropped before these are written.
+    Stored entries from index `truncate_from` on are deleted before `entries` are written.  The messages in
+    `send_after_sync` may be sent only once the record is on disk.
     """
 
     hard_state: HardState
@@ -121,7 +122,7 @@
 
 @dataclass(slots=True)
 class Proposed:
-    """The proposal has this place in the log; it counts once an entry of this term is applied there."""
+    """The proposal was appended at this index; it succeeds if the entry applied there has this term."""
 
     index: int
     term: int
@@ -129,40 +130,40 @@
 
 @dataclass(slots=True)
 class NotLeader:
-    """The proposal was not taken."""
+    """The proposal was rejected because this replica does not accept proposals now."""
 
 
 @dataclass(slots=True)
 class ReadConfirmed:
-    """What is applied now holds all that was acknowledged before this read began."""
+    """The applied state includes every write that was acknowledged before this read started."""
 
     number: int
 
 
 @dataclass(slots=True)
 class ReadRefused:
-    """This replica can't tell whether its state is the newest."""
+    """This replica cannot confirm that its state is up to date."""
 
     number: int
 
 
 @dataclass(slots=True)
 class Apply:
-    """This entry is committed; entries come in order, each once."""
+    """Apply a committed entry; entries are applied in order, each exactly once."""
 
     entry: pb.LogEntry
 
 
 @dataclass(slots=True)
 class Restore:
-    """Replace the state machine by this snapshot."""
+    """Replace the state of the state machine by this snapshot."""
 
     snapshot: Snapshot
 
 
 @dataclass(slots=True)
 class RoleChanged:
-    """The replica has another role, or knows another leader."""
+    """The role of the replica or the leader known to it has changed."""
 
     role: Role
     leader: pb.Member | None
@@ -173,7 +174,7 @@
 
 @dataclass(slots=True)
 class UnsyncedRecord:
-    """A record that is being written, and what will be durable once it is."""
+    """A record that is being written, with the log index and term that are durable once it is on disk."""
 
     sequence: int
     index: int
