--- a/molespur/system/consensus/__init__.py
+++ b/molespur/system/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""One replica group: the Raft consensus algorithm without I/O."""
+"""The Raft consensus algorithm of one replica group, without I/O."""
--- a/molespur/system/consensus/elections.py
+++ b/molespur/system/consensus/elections.py
@@ -1,4 +1,4 @@
-"""Elections: pre-vote, votes, and what a new leader begins with."""
+"""Elections: pre-votes, votes, and the initial state of a new leader."""
 
 from ..rpc import molespur_pb2 as pb
 from .progress import Progress
@@ -13,7 +13,7 @@
 
 
 class ElectionMixin(ReplicaState):
-    """A replica as a candidate and as a voter."""
+    """The candidate and voter parts of a replica."""
 
     def _campaign(self, pre_vote: bool, transfer: bool = False) -> None:
         if pre_vote:
@@ -26,9 +26,9 @@
             self._ensure_record()
             self._set_role(Role.CANDIDATE)
         self.votes = {self.id}
-        never_led = self.leader_contact_at_ms == float("-inf")
+        no_leader_seen = self.leader_contact_at_ms == float("-inf")
         self._reset_election_timer(
-            FIRST_ELECTION_TIMEOUT_RANGE_MS if pre_vote and never_led else ELECTION_TIMEOUT_RANGE_MS
+            FIRST_ELECTION_TIMEOUT_RANGE_MS if pre_vote and no_leader_seen else ELECTION_TIMEOUT_RANGE_MS
         )
         for member in self.log.membership.members:
             if member.voter and member.replica_id != self.id:
@@ -37,8 +37,8 @@
                 message.vote_request.last_index = self.log.last_index
                 message.vote_request.last_term = self.log.last_term
                 message.vote_request.leadership_transfer = transfer
-                # a candidate's own vote is on its disk before it asks for others'
-                self._send(member, message, after_write=not pre_vote)
+                # a candidate's own vote must be on disk before it requests other votes
+                self._send(member, message, after_sync=not pre_vote)
         if pre_vote:
             self._count_votes()
 
@@ -51,7 +51,7 @@
             self._become_leader()
 
     def _become_leader(self) -> None:
-        voted = self.votes
+        granted_by = self.votes
         self._set_role(Role.LEADER, self.id)
         self.leader_since_ms = self.now
         self.progress = {
@@ -59,30 +59,30 @@
             for m in self.log.membership.members
             if m.replica_id != self.id
         }
-        if self.last_leader_id in self.progress and self.last_leader_id not in voted:
-            # the leader before may be lost: its silence has lasted since it was heard of last
+        if self.last_leader_id in self.progress and self.last_leader_id not in granted_by:
+            # the previous leader may have failed: count from its last message, not from the election
             self.progress[self.last_leader_id].last_reply_at_ms = self.leader_contact_at_ms
         self._propose(pb.NOOP, b"")
 
     def _handle_vote_request(self, message: pb.ConsensusMessage) -> None:
         if self.role is Role.NON_MEMBER or not self.is_voter():
-            return  # a replica that has forgotten its votes, or has none, takes part in no vote
+            return  # a learner has no vote, and a replica with an empty disk may have forgotten its votes
         request = message.vote_request
-        heard = self.ms_since_leader_contact(self.now) < MIN_ELECTION_TIMEOUT_MS
-        if heard and not request.leadership_transfer and message.sender != self.leader_id:
-            return  # guards against a member that was cut off disturbing a group that has a leader
+        has_leader = self.ms_since_leader_contact(self.now) < MIN_ELECTION_TIMEOUT_MS
+        if has_leader and not request.leadership_transfer and message.sender != self.leader_id:
+            return  # keeps a member that was cut off from disturbing a group that has a leader
         if message.term < self.hard_state.term:
-            self._send_vote_reply(message, granted=False, after_write=False)
+            self._send_vote_reply(message, granted=False, after_sync=False)
             return
-        mine = (self.log.last_term, self.log.last_index)
-        up_to_date = (request.last_term, request.last_index) >= mine
+        own_log_end = (self.log.last_term, self.log.last_index)
+        up_to_date = (request.last_term, request.last_index) >= own_log_end
         if request.pre_vote:
             granted = up_to_date and message.term > self.hard_state.term
             if granted and self.role is Role.PRE_CANDIDATE and message.sender > self.id:
-                # both would get every pre-vote and split the votes: the one with the lower identity gives way
+                # both could win their pre-votes and then split the votes: the lower identity yields
                 self._become_follower("")
                 self._reset_election_timer(YIELD_TIMEOUT_RANGE_MS)
-            self._send_vote_reply(message, granted, after_write=False)
+            self._send_vote_reply(message, granted, after_sync=False)
             return
         if message.term > self.hard_state.term:
             self._adopt_term(message.term)
@@ -91,20 +91,20 @@
             self.hard_state.vote = message.sender
             self._ensure_record()
             self._reset_election_timer()
-        self._send_vote_reply(message, granted, after_write=True)
+        self._send_vote_reply(message, granted, after_sync=True)
 
-    def _send_vote_reply(self, message: pb.ConsensusMessage, granted: bool, after_write: bool) -> None:
+    def _send_vote_reply(self, message: pb.ConsensusMessage, granted: bool, after_sync: bool) -> None:
         pre_vote = message.vote_request.pre_vote
         term = message.term if pre_vote and granted else self.hard_state.term
         reply = self._new_message(message.sender, term)
         reply.vote_reply.pre_vote = pre_vote
         reply.vote_reply.granted = granted
-        self._send(self._sender_member(message), reply, after_write)
+        self._send(self._sender_member(message), reply, after_sync)
 
     def _handle_vote_reply(self, message: pb.ConsensusMessage) -> None:
         reply = message.vote_reply
-        asked = Role.PRE_CANDIDATE if reply.pre_vote else Role.CANDIDATE
-        expected = self.hard_state.term + (1 if reply.pre_vote else 0)
-        if self.role is asked and reply.granted and message.term == expected:
+        expected_role = Role.PRE_CANDIDATE if reply.pre_vote else Role.CANDIDATE
+        expected_term = self.hard_state.term + (1 if reply.pre_vote else 0)
+        if self.role is expected_role and reply.granted and message.term == expected_term:
             self.votes.add(message.sender)
             self._count_votes()
--- a/molespur/system/consensus/following.py
+++ b/molespur/system/consensus/following.py
@@ -1,4 +1,4 @@
-"""Replication, the follower's side: entries and snapshots of the leader."""
+"""Replication on the follower: entries and snapshots from the leader."""
 
 from ..rpc import molespur_pb2 as pb
 from .records import Restore, Role, Snapshot
@@ -6,7 +6,7 @@
 
 
 class FollowerMixin(ReplicaState):
-    """A replica as a follower."""
+    """The follower part of a replica."""
 
     def _record_leader_contact(self, message: pb.ConsensusMessage) -> None:
         self.leader_contact_at_ms, self.last_leader_id = self.now, message.sender
@@ -20,7 +20,7 @@
         self.leader_commit_index = max(self.leader_commit_index, request.commit_index)
         previous = request.previous_index
         if previous < self.log.snapshot.index:
-            # entries that the snapshot stands for are committed, so they match
+            # entries up to the snapshot index are committed, so they match
             entries = [e for e in request.entries if e.index > self.log.snapshot.index]
             previous_term = self.log.snapshot.term
             previous = self.log.snapshot.index
@@ -43,9 +43,7 @@
             self._become_follower(message.sender)
         reply.append_reply.success = True
         reply.append_reply.match_index = max(last, self.log.snapshot.index)
-        self._send(
-            self._sender_member(message), reply, after_write=bool(new) or self.log.durable_index < last
-        )
+        self._send(self._sender_member(message), reply, after_sync=bool(new) or self.log.durable_index < last)
         self._commit_to(min(request.commit_index, last))
         if request.life == self.instance_id:
             self.state_age_tracker.add_claim(
@@ -54,35 +52,35 @@
         self.state_age_tracker.advance_applied(self.log.applied_index)
 
     def _stamp_reply(self, reply: pb.AppendReply) -> None:
-        """Say when this replica replies, by its own clock: its leader's claims are made in that time."""
+        """Add the reply time on this replica's clock; the leader's state age claims are in this time."""
         reply.replied_at_ms, reply.life = int(self.now), self.instance_id
 
     def _handle_install_snapshot(self, message: pb.ConsensusMessage) -> None:
         self._record_leader_contact(message)
-        sent = message.install_snapshot
+        request = message.install_snapshot
         reply = self._new_message(message.sender)
         reply.append_reply.success = True
-        reply.append_reply.sent_at_ms = sent.sent_at_ms
-        reply.append_reply.read_round = sent.read_round
+        reply.append_reply.sent_at_ms = request.sent_at_ms
+        reply.append_reply.read_round = request.read_round
         self._stamp_reply(reply.append_reply)
-        if self.log.has_entry(sent.index, sent.term):
-            # all that the snapshot stands for is there; entries after it may be acknowledged already
-            self._commit_to(sent.index)
-        elif sent.index > self.log.commit_index:
-            snapshot = self.snapshot_receiver.receive_chunk(sent)
+        if self.log.has_entry(request.index, request.term):
+            # the log already has these entries; later entries may already be acknowledged and must be kept
+            self._commit_to(request.index)
+        elif request.index > self.log.commit_index:
+            snapshot = self.snapshot_receiver.receive_chunk(request)
             if snapshot is None:
                 reply.append_reply.match_index = self.log.snapshot.index
-                reply.append_reply.snapshot_index = sent.index
+                reply.append_reply.snapshot_index = request.index
                 reply.append_reply.snapshot_received = self.snapshot_receiver.received_bytes
                 self._send(self._sender_member(message), reply)
                 return
             self._install_snapshot(snapshot)
             self._become_follower(message.sender)
         reply.append_reply.match_index = self.log.commit_index
-        self._send(self._sender_member(message), reply, after_write=True)
+        self._send(self._sender_member(message), reply, after_sync=True)
 
     def _install_snapshot(self, snapshot: Snapshot) -> None:
-        """Go by a snapshot in place of the log."""
+        """Replace the log and the state by a snapshot."""
         self.log.install_snapshot(snapshot)
         record = self._ensure_record()
         record.snapshot, record.truncate_from = self.log.snapshot, 0
--- a/molespur/system/consensus/replica.py
+++ b/molespur/system/consensus/replica.py
@@ -1,8 +1,9 @@
 """A replica of one group: the Raft consensus algorithm as a pure state machine.
 
-Events go in through `Replica.handle(now, event)`, actions come out in order.  Times are milliseconds
-on a steady clock.  The caller carries actions out: it writes `Persist` records in order and answers
-each with `Persisted`; the messages that a record carries may leave only after it is on the disk.
+`Replica.handle(now, event)` takes an event and returns the resulting actions in order.  Times are in
+milliseconds on a steady clock.  The caller executes the actions.  It writes `Persist` records in order and
+reports each one with `Persisted`.  The messages that a record contains may be sent only after the record is
+on disk.
 
 The algorithm is Raft (Ongaro, 2014) with pre-vote, check-quorum, leader leases, ReadIndex reads, learners,
 single-step membership change and leadership transfer.
@@ -48,10 +49,10 @@
 
 
 class Replica(ElectionMixin, LeaderMixin, FollowerMixin):
-    """One replica of one group: the one entrance for events."""
+    """One replica of one group; `handle` is the only way to pass events to it."""
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event at time now (ms) and return the actions it calls for, in order."""
+        """Handle one event at time `now` (ms) and return the resulting actions in order."""
         self.now, self._actions, self._record = now, [], None
         match event:
             case Tick():
@@ -86,7 +87,7 @@
             elif self.now >= self.next_heartbeat_at_ms:
                 self._broadcast()
             if self.transfer_target_id and self.now >= self.transfer_deadline_ms:
-                self._become_follower("")  # its successor may lead without this replica knowing
+                self._become_follower("")  # another leader may be elected without this replica knowing
         elif self.role is not Role.NON_MEMBER and self.now >= self.election_deadline_ms:
             if self.is_voter():
                 self._campaign(pre_vote=True)
@@ -100,7 +101,7 @@
             return
         if message.term > self.hard_state.term:
             if kind == "vote_reply" and message.vote_reply.pre_vote and message.vote_reply.granted:
-                pass  # a granted pre-vote names the term that would be campaigned for
+                pass  # a granted pre-vote carries the term of the campaign that would follow
             else:
                 self._adopt_term(message.term)
         elif message.term < self.hard_state.term:
--- a/molespur/system/consensus/replica_state.py
+++ b/molespur/system/consensus/replica_state.py
@@ -1,6 +1,6 @@
-"""What a replica holds, and the few ways in which it changes: role, term, log, messages that leave.
+"""The state of a replica and the operations that all roles share: role, term, log and messages.
 
-Times are milliseconds on a steady clock.
+Times are in milliseconds on a steady clock.
 """
 
 from collections.abc import Callable, Sequence
@@ -33,7 +33,7 @@
 
 
 class ReplicaState:
-    """One replica of one group."""
+    """The state of one replica of one group."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         now: float = 0.0,
         instance_id: int = 1,
     ):
-        """`instance_id`: a number, not 0, that no other process which has this replica's identity uses."""
+        """`instance_id` must be nonzero and unique among all processes that have this replica's identity."""
         self.group, self.id, self.random = group, replica_id, random
         self.hard_state = hard_state or HardState()
         self.log = ReplicatedLog(snapshot or Snapshot(), entries)
@@ -58,8 +58,8 @@
         self.state_age_tracker = StateAgeTracker()
         self.instance_id = instance_id
         self.leader_contact_at_ms = float("-inf")
-        self.last_leader_id = ""  # who that was
-        self.leader_commit_index = 0  # the highest that a leader has named; it may be beyond the own log
+        self.last_leader_id = ""  # the leader of that contact
+        self.leader_commit_index = 0  # the highest one received from a leader; may be beyond the own log
         self.transfer_target_id = ""
         self.now = now
         self.next_heartbeat_at_ms = now
@@ -74,60 +74,75 @@
         self._actions.clear()
 
     def member(self, replica_id: str) -> pb.Member | None:
-        """The member of this identity."""
+        """Return the member with this identity; None if there is none."""
         return next((m for m in self.log.membership.members if m.replica_id == replica_id), None)
 
     def voters(self) -> list[str]:
-        """Identities of the members that vote."""
+        """Return the identities of the voting members."""
         return [m.replica_id for m in self.log.membership.members if m.voter]
 
     def is_voter(self) -> bool:
-        """Whether this replica votes."""
+        """Return whether this replica is a voting member."""
         return self.id in self.voters()
 
     def ms_since_leader_contact(self, now: float) -> float:
-        """Time since the leader was heard of; 0 at a leader with a lease."""
+        """Return the time since the last message from a leader.
+
+        At the leader itself: the time since the send time of the newest append that a majority has answered.
+        """
         if self.role is Role.LEADER:
             return max(now - self._quorum_contact_at(now), 0.0)
         return now - self.leader_contact_at_ms
 
     def state_age_ms(self, now: float) -> float:
-        """Time since which something may have been acknowledged that the state here lacks; inf: any time."""
+        """Return the age of the state: how long ago a write may have been acknowledged that it lacks.
+
+        The age is infinite if nothing is known.
+        """
         return now - max(self.state_age_tracker.confirmed_at_ms, self._confirmed_as_leader_at(now))
 
     def _confirmed_as_leader_at(self, now: float) -> float:
-        """The time before which nobody else can have acknowledged anything, by this replica's own lead."""
+        """Return the time before which every acknowledged write is in this replica's log, known from leading.
+
+        It is -inf if this replica is not the leader or has not committed an entry of its own term.
+        """
         if self.role is not Role.LEADER or not self._own_term_committed():
             return float("-inf")
         return self._quorum_contact_at(now)
 
     def has_lease(self, now: float) -> bool:
-        """Whether a majority has followed this leader so lately that, unless voters restart, no other leads.
+        """Return whether a majority followed this leader so recently that no other replica can lead.
 
-        Good for duties that a fence guards; reads ask a majority instead (`Read`).
+        This does not hold if voters have restarted since.  The lease is therefore sufficient only for
+        operations that are also protected by a fencing token; reads are confirmed by a majority instead
+        (`Read`).
         """
         if self.role is not Role.LEADER or self.transfer_target_id:
             return False
         return self._own_term_committed() and now - self._quorum_contact_at(now) < LEADER_LEASE_MS
 
     def has_quorum_contact(self, now: float) -> bool:
-        """Whether a proposal may be taken: this replica leads, and no other can have been elected since.
+        """Return whether this replica leads and a majority has replied within the minimum election timeout.
 
-        A majority must have answered within the shortest election time-out; a leader that is cut off learns
-        by this that it can commit nothing, before it steps down.
+        A leader that was elected within that time counts as well.  Proposals are accepted only while this is
+        true: no other leader can have been elected since.  A leader that is cut off from the majority detects
+        this way that it can commit nothing, before it steps down.
         """
         if self.role is not Role.LEADER:
             return False
         return min(now - self._quorum_contact_at(now), now - self.leader_since_ms) < MIN_ELECTION_TIMEOUT_MS
 
     def _own_term_committed(self) -> bool:
-        """Whether an entry of the own term is committed, and so all that earlier terms have committed."""
+        """Return whether an entry of the current term is committed.
+
+        If so, everything that earlier terms have committed is known to be committed too.
+        """
         return self.log.term_at(self.log.commit_index) == self.hard_state.term
 
     # -- Log -----------------------------------------------------------------------------------
 
     def _append(self, entries: Sequence[pb.LogEntry]) -> None:
-        """Put entries at the end of the log, replacing all from the first one's index on."""
+        """Append entries to the log, replacing all entries from the index of the first one on."""
         first = entries[0].index
         self.log.append(entries)
         for unsynced in self._unsynced_records:
@@ -137,7 +152,7 @@
         record.entries = list(entries)
 
     def _ensure_record(self) -> Persist:
-        """The record of this event's changes, which holds the hard state as it is now."""
+        """Return the record of the current event, created if needed, with the current hard state."""
         if self._record is None:
             self._record = Persist(self.hard_state)
         self._record.hard_state = HardState(self.hard_state.term, self.hard_state.vote)
@@ -146,7 +161,7 @@
     # -- Roles ---------------------------------------------------------------------------------
 
     def _set_role(self, role: Role, leader: str = "") -> None:
-        """The one place where the role changes."""
+        """Change the role; no other code does."""
         changed = (role, leader) != (self.role, self.leader_id)
         self.state_age_tracker.confirm(self._confirmed_as_leader_at(self.now))
         self.role, self.leader_id = role, leader
@@ -159,8 +174,8 @@
         if changed:
             self._actions.append(RoleChanged(role, self.member(leader)))
 
-    def _reset_election_timer(self, between: tuple[float, float] = ELECTION_TIMEOUT_RANGE_MS) -> None:
-        low, high = between
+    def _reset_election_timer(self, range_ms: tuple[float, float] = ELECTION_TIMEOUT_RANGE_MS) -> None:
+        low, high = range_ms
         self.election_deadline_ms = self.now + low + (high - low) * self.random.random()
 
     def _adopt_term(self, term: int) -> None:
@@ -169,23 +184,23 @@
         self._become_follower("")
 
     def _become_follower(self, leader: str) -> None:
-        known = bool(self.log.membership.members)
-        self._set_role(Role.FOLLOWER if known else Role.NON_MEMBER, leader)
+        has_membership = bool(self.log.membership.members)
+        self._set_role(Role.FOLLOWER if has_membership else Role.NON_MEMBER, leader)
 
     def _is_majority(self, identities) -> bool:
         voters = self.voters()
         return sum(v in identities for v in voters) * 2 > len(voters)
 
-    def _quorum_value(self, own: float, of: Callable[[Progress], float]) -> float | None:
-        """The most that a majority of the voters has reached, this one's own value included."""
-        reached = {name: of(progress) for name, progress in self.progress.items()}
+    def _quorum_value(self, own: float, value_of: Callable[[Progress], float]) -> float | None:
+        """Return the highest value that a majority of the voters has reached; `own` is this replica's."""
+        reached = {name: value_of(progress) for name, progress in self.progress.items()}
         reached[self.id] = own
         return majority_value(reached.get(voter, float("-inf")) for voter in self.voters())
 
     def _quorum_contact_at(self, now: float) -> float:
-        """Send time of the newest append that a majority of the voters, this one included, has answered."""
-        heard_at = self._quorum_value(now, lambda progress: progress.acked_sent_at_ms)
-        return float("-inf") if heard_at is None else heard_at
+        """Return the send time of the newest append that a majority, including this replica, has answered."""
+        contact_at = self._quorum_value(now, lambda progress: progress.acked_sent_at_ms)
+        return float("-inf") if contact_at is None else contact_at
 
     def _commit_to(self, index: int) -> None:
         self._actions.extend(Apply(entry) for entry in self.log.commit_up_to(index))
@@ -196,17 +211,15 @@
         term = self.hard_state.term if term is None else term
         return pb.ConsensusMessage(group=self.group, sender=self.id, receiver=receiver, term=term)
 
-    def _send(
-        self, member: pb.Member | None, message: pb.ConsensusMessage, after_write: bool = False
-    ) -> None:
+    def _send(self, member: pb.Member | None, message: pb.ConsensusMessage, after_sync: bool = False) -> None:
         if member is None:
             return
-        if after_write:
+        if after_sync:
             self._ensure_record().send_after_sync.append(Send(member, message))
         else:
             self._actions.append(Send(member, message))
 
     def _sender_member(self, message: pb.ConsensusMessage) -> pb.Member | None:
-        """The member to answer; one that this replica does not know yet is answered by its identity."""
+        """Return the member to reply to; the address of an unknown sender is taken from its identity."""
         known = self.member(message.sender)
         return known or pb.Member(replica_id=message.sender, rpc_address=message.sender.partition("#")[0])
