--- a/molespur/system/consensus/leading.py
+++ b/molespur/system/consensus/leading.py
@@ -1,4 +1,4 @@
-"""Replication, the leader's side: proposals, appends, commits, reads, and the transfer of the lead."""
+"""Replication on the leader: proposals, appends, commits, reads and leadership transfer."""
 
 from math import floor
 
@@ -11,7 +11,7 @@
 
 
 class LeaderMixin(ReplicaState):
-    """A replica as the leader."""
+    """The leader part of a replica."""
 
     def _propose(self, kind: int, data: bytes) -> None:
         if self.role is not Role.LEADER or (self.transfer_target_id and kind == pb.COMMAND):
@@ -28,8 +28,8 @@
             return
         if not self._own_term_committed():
             return
-        new = {m.replica_id for m in membership.members if m.voter}
-        if len(new ^ set(self.voters())) > 1 or self.id not in new:
+        new_voters = {m.replica_id for m in membership.members if m.voter}
+        if len(new_voters ^ set(self.voters())) > 1 or self.id not in new_voters:
             return
         self._propose(pb.MEMBERSHIP, membership.SerializeToString())
         for member in membership.members:
@@ -38,8 +38,8 @@
         self.progress = {k: p for k, p in self.progress.items() if self.member(k)}
 
     def _progress_of(self, member: pb.Member) -> Progress:
-        fresh = Progress(next_index=self.log.last_index + 1, last_reply_at_ms=self.now)
-        return self.progress.setdefault(member.replica_id, fresh)
+        initial = Progress(next_index=self.log.last_index + 1, last_reply_at_ms=self.now)
+        return self.progress.setdefault(member.replica_id, initial)
 
     def _broadcast(self) -> None:
         self.next_heartbeat_at_ms = self.now + HEARTBEAT_INTERVAL_MS
@@ -48,7 +48,7 @@
                 self._replicate(member)
 
     def _replicate(self, member: pb.Member) -> None:
-        """Send what the member lacks, or an empty append while an earlier one is unanswered."""
+        """Send the entries or snapshot that the member lacks, or a heartbeat while others are in flight."""
         progress = self._progress_of(member)
         progress.reset_stale_inflight(self.now, APPEND_RETRY_TIMEOUT_MS)
         message = self._new_message(member.replica_id)
@@ -75,10 +75,10 @@
         self._send(member, message)
 
     def _add_claim(self, request: pb.AppendRequest, progress: Progress) -> None:
-        """Tell a member up to when, by its own clock, the commit index holds all that was acknowledged.
+        """Add a state age claim: the time before which every acknowledged write is within the commit index.
 
-        Never later than its last reply, so that no clock is taken to run like another for longer than a
-        round trip.
+        The time is on the member's own clock and never later than its last reply.  The clocks of both
+        processes are thus assumed to run at the same rate for no longer than a round trip.
         """
         confirmed_at = self._confirmed_as_leader_at(self.now)
         if progress.peer_instance_id and confirmed_at > float("-inf"):
@@ -87,14 +87,14 @@
             request.confirmed_at_ms = floor(progress.peer_replied_at_ms - before_reply)
 
     def _send_heartbeat(self, member: pb.Member) -> None:
-        """An append that asks for nothing: while a snapshot is on its way the leader must still be heard."""
+        """Send an empty append: keeps contact with the member while a snapshot chunk is in flight."""
         message = self._new_message(member.replica_id)
         message.append_request.sent_at_ms = int(self.now)
         message.append_request.read_round = self.reads.round
         self._send(member, message)
 
     def _send_snapshot(self, member: pb.Member, progress: Progress) -> None:
-        """Send the next piece of the snapshot that is on its way, or begin with the newest one."""
+        """Send the next chunk of the snapshot transfer; starts one with the newest snapshot if needed."""
         if progress.snapshot_sender is None:
             progress.snapshot_sender = SnapshotSender.create(self.log.snapshot, progress.partial_snapshot)
         message = self._new_message(member.replica_id)
@@ -119,10 +119,7 @@
             self._send(member, self._timeout_now_message(message.sender))
 
     def _needs_append(self, progress: Progress) -> bool:
-        """Whether a member can use a message now:
-
-        it lacks entries, or does not know that some are committed.
-        """
+        """Return whether a member lacks entries or does not know that some of its entries are committed."""
         return (
             progress.match_index < self.log.last_index or progress.sent_commit_index < self.log.commit_index
         )
@@ -133,7 +130,7 @@
             return
         if self.log.has_entry(majority, self.hard_state.term):
             self._commit_to(majority)
-            self._broadcast()  # followers apply it at once, and their feeds with them
+            self._broadcast()  # followers and their feeds apply it now, not at the next heartbeat
 
     # -- Reads -------------------------------------------------------------------------------------
 
@@ -146,11 +143,11 @@
         self._confirm_reads()
 
     def _confirm_reads(self) -> None:
-        answered = self._quorum_value(self.reads.round, lambda progress: progress.acked_read_round)
-        if answered is not None:
-            self._actions.extend(ReadConfirmed(number) for number in self.reads.confirm_up_to(answered))
+        majority_round = self._quorum_value(self.reads.round, lambda progress: progress.acked_read_round)
+        if majority_round is not None:
+            self._actions.extend(ReadConfirmed(number) for number in self.reads.confirm_up_to(majority_round))
 
-    # -- Planned work ----------------------------------------------------------------------------
+    # -- Leadership transfer -----------------------------------------------------------------------
 
     def _transfer_leadership(self) -> None:
         if self.role is not Role.LEADER:
@@ -172,9 +169,10 @@
             self._replicate(member)
 
     def _step_down(self) -> None:
-        """Check-quorum: a leader that no majority answers leads no more, and tells another voter to campaign.
+        """Give up leadership because no majority replies (check-quorum); ask another voter to campaign.
 
-        The others may hear it although it does not hear them; they would wait for a whole election time-out.
+        The other voters may still receive this leader's messages although their replies are lost.  They would
+        otherwise wait for a full election timeout after the last message.
         """
         others = [
             (progress.match_index, name) for name, progress in self.progress.items() if name in self.voters()
