--- a/molespur/system/shards/leaving.py
+++ b/molespur/system/shards/leaving.py
@@ -59,10 +59,11 @@
         """Move on with a lead; whether there is anybody to take it."""
         replica, planner = group.replica, group.planner
         if len(replica.voters()) == 1:
-            return planner.stands_by(replica, self.clock())
-        planner.leaves(self.host.replica_id, self.clock())
+            return planner.has_standby_learner(replica, self.clock())
+        planner.record_leaving(self.host.replica_id, self.clock())
         vote_is_next = (
-            planner.stands_by(replica, self.clock()) and len(replica.voters()) <= planner.voters_wanted
+            planner.has_standby_learner(replica, self.clock())
+            and len(replica.voters()) <= planner.target_voters
         )
         if not vote_is_next and not replica.transfer_target_id and replica.log.membership_committed:
             self.host.transfer_lead(group)
--- a/molespur/system/shards/membership.py
+++ b/molespur/system/shards/membership.py
@@ -72,7 +72,7 @@
             group = self.host.groups.get(name)
             if group is None or not self.host.has_quorum_contact(name):
                 continue
-            group.planner.leaves(request.replica_id, self.clock())
+            group.planner.record_leaving(request.replica_id, self.clock())
             if group.planner.may_leave(group.replica, request.replica_id, self.clock()):
                 released.append(name)
         return pb.LeaveReply(groups=released)
--- a/tests/system/test_membership_changes.py
+++ b/tests/system/test_membership_changes.py
@@ -5,7 +5,7 @@
 
 from molespur.system.consensus import replica as raft
 from molespur.system.rpc import molespur_pb2 as pb
-from molespur.system.shards.membership_changes import LOST_AFTER_MS, MembershipPlanner
+from molespur.system.shards.membership_changes import VOTER_LOST_AFTER_MS, MembershipPlanner
 
 LEARNER = "10.0.0.9:1#9"
 
@@ -41,7 +41,7 @@
 def test_a_leaving_voter_is_replaced_before_it_gives_its_vote_up(leader):
     group, replica, planner = leader
     leaving = followers(replica)[0]
-    planner.leaves(leaving, group.now)
+    planner.record_leaving(leaving, group.now)
     assert not planner.may_leave(replica, leaving, group.now)
     larger = planner.plan(replica, group.now)
     assert voters_of(larger) == {*replica.voters(), LEARNER}
@@ -57,10 +57,10 @@
     """The learner that stood by has its vote already, so none stands by any more."""
     group, replica, planner = leader
     leaving = followers(replica)[0]
-    planner.leaves(leaving, group.now)
+    planner.record_leaving(leaving, group.now)
     larger = planner.plan(replica, group.now)
     replica.log.memberships.append((replica.log.commit_index, larger))
-    assert len(replica.voters()) == 4 and not planner.stands_by(replica, group.now)
+    assert len(replica.voters()) == 4 and not planner.has_standby_learner(replica, group.now)
     for name in replica.voters():
         if name != replica.id:
             replica.progress[name].match_index = replica.log.last_index
@@ -69,7 +69,7 @@
 
 def test_a_learner_that_lacks_entries_gets_no_vote(leader):
     group, replica, planner = leader
-    planner.leaves(followers(replica)[0], group.now)
+    planner.record_leaving(followers(replica)[0], group.now)
     replica.progress[LEARNER].match_index = 1
     replica.log.entries.extend(
         pb.LogEntry(index=replica.log.last_index + n, term=1, kind=pb.COMMAND) for n in range(1, 9)
@@ -80,10 +80,10 @@
 def test_a_silent_voter_makes_room_only_while_the_leader_is_in_touch(leader):
     group, replica, planner = leader
     lost = followers(replica)[0]
-    replica.progress[lost].last_reply_at_ms = group.now - LOST_AFTER_MS - 1.0
+    replica.progress[lost].last_reply_at_ms = group.now - VOTER_LOST_AFTER_MS - 1.0
     assert voters_of(planner.plan(replica, group.now)) == set(replica.voters()) - {lost}
     for name in followers(replica):
-        replica.progress[name].last_reply_at_ms = group.now - LOST_AFTER_MS - 1.0
+        replica.progress[name].last_reply_at_ms = group.now - VOTER_LOST_AFTER_MS - 1.0
     assert planner.plan(replica, group.now) is None, "with all silent the fault may be here"
     replica.progress[followers(replica)[1]].last_reply_at_ms = group.now
     for name in followers(replica):
@@ -94,7 +94,7 @@
 
 def test_a_voter_too_many_that_nobody_accounts_for_becomes_a_learner(leader):
     group, replica, planner = leader
-    planner.leaves(followers(replica)[0], group.now)
+    planner.record_leaving(followers(replica)[0], group.now)
     larger = planner.plan(replica, group.now)
     replica.log.memberships.append((replica.log.commit_index, larger))
     assert planner.plan(replica, group.now + 1100.0) is None
@@ -104,7 +104,7 @@
 
 def test_one_that_stops_saying_that_it_leaves_stays(leader):
     group, replica, planner = leader
-    planner.leaves(followers(replica)[0], group.now)
+    planner.record_leaving(followers(replica)[0], group.now)
     replica.progress[LEARNER].last_reply_at_ms = group.now + 2000.0
     assert planner.plan(replica, group.now + 2000.0) is None
 
@@ -115,7 +115,7 @@
     group.leader().handle(raft.ChangeMembership(planner.admit(replica, joining)))
     assert not replica.log.membership_committed
     last = replica.log.last_index
-    planner.leaves(followers(replica)[0], group.now)
+    planner.record_leaving(followers(replica)[0], group.now)
     assert planner.plan(replica, group.now) is None
     another = pb.Member(replica_id="10.0.0.7:1#7", rpc_address="10.0.0.7:1")
     group.leader().handle(raft.ChangeMembership(planner.admit(replica, another)))
