--- a/molespur/system/shards/membership_changes.py
+++ b/molespur/system/shards/membership_changes.py
@@ -1,39 +1,41 @@
-"""How the leader of a replica group changes its members: one voter at a time, learners first.  Pure.
+"""Plans how the leader of a replica group changes its members: one voter at a time, learners first.  Pure.
 
-A replica that comes with an empty disk is a learner until it has the whole log.  It then takes the vote of
+A replica that starts with an empty disk is a learner until it has the whole log.  It then takes the vote of
 
-- the earlier replica at its address, which is gone with its disk;
-- a voter that says that it leaves: the learner is made a voter first, so that at every moment the group bears
-  as many losses as before, and the leaving voter becomes a learner in the next change;
-- a voter that has been silent too long: it is removed first, since a group with a dead voter and one voter
-  more would need all the others for a majority.
+- the previous replica at its address, whose disk is lost;
+- a voter that is leaving.  The learner becomes a voter first, so that the group tolerates as many failures as
+  before at every moment.  The next change makes the leaving voter a learner;
+- a voter that has not replied for too long.  That voter is removed first, because a group with a failed voter
+and
+  one additional voter would need all of the others for a majority.
 
-Times are milliseconds on the leader's steady clock.
+Times are in milliseconds on the leader's steady clock.
 """
 
 from ..consensus.replica import Replica
 from ..rpc import molespur_pb2 as pb
 
-VOTER_LOST_AFTER_MS = 1200.0  # a voter silent this long gives way to a learner that has caught up
-LEARNER_LOST_AFTER_MS = 10_000.0
-MAX_CONTACT_AGE_MS = 1000.0
-LEAVE_NOTICE_TTL_MS = 1000.0  # a voter that leaves says so again and again; one that stops saying so stays
-SURPLUS_VOTER_TIMEOUT_MS = (
-    1500.0  # a voter too many that nobody accounts for is made a learner after this time
-)
-MAX_LEARNER_LAG_ENTRIES = 4  # a learner this close to the end of the log has caught up
+VOTER_LOST_AFTER_MS = 1200.0  # a voter without replies for this long is replaced by a caught-up learner
+LEARNER_LOST_AFTER_MS = 10_000.0  # a learner without replies for this long is removed
+MAX_CONTACT_AGE_MS = 1000.0  # a learner that replied within this time is considered reachable
+LEAVE_NOTICE_TTL_MS = 1000.0  # a leaving replica repeats its notice; without it the replica counts as staying
+SURPLUS_VOTER_TIMEOUT_MS = 1500.0  # a surplus voter is demoted after this time even if none is leaving
+MAX_LEARNER_LAG_ENTRIES = 4  # a learner at most this far behind the end of the log has caught up
 
 
 class MembershipPlanner:
-    """Proposes the next membership of one group, if it should change."""
+    """Plans the next membership change of one group."""
 
     def __init__(self, voters: int):
         self.target_voters = voters
-        self._leaving: dict[str, float] = {}  # replica -> when it said so last
+        self._leaving: dict[str, float] = {}  # replica -> time of its last leave notice
         self._surplus_since: float | None = None
 
     def admit(self, replica: Replica, joining: pb.Member) -> pb.Membership | None:
-        """The membership with this replica as a learner, without an earlier one at its address."""
+        """Return the membership with this replica as a learner and without any previous one at its address.
+
+        Returns None if the replica is a member already.
+        """
         if replica.member(joining.replica_id) is not None:
             return None
         kept = [m for m in replica.log.membership.members if m.rpc_address != joining.rpc_address]
@@ -43,14 +45,15 @@
         return pb.Membership(members=[*kept, learner])
 
     def record_leaving(self, replica_id: str, now: float) -> None:
-        """A replica says that its process was told to stop."""
+        """Record the notice of a replica that its process is stopping."""
         self._leaving[replica_id] = now
 
     def may_leave(self, replica: Replica, replica_id: str, now: float) -> bool:
-        """Whether a leaving replica may end, as this leader sees it.
+        """Return whether a leaving replica may stop, as far as this leader knows.
 
-        It may once a committed membership has no vote of it.  Where no learner stands by to take the vote, it
-        may once enough other voters hold all that is committed: what it has is then not the only copy.
+        It may stop once it has no vote in a committed membership.  If no learner is available to take its
+        vote, it may stop once enough other voters hold all committed entries, so that it does not have the
+        only copy.
         """
         if not replica.log.membership_committed:
             return False
@@ -60,13 +63,15 @@
         if self.has_standby_learner(replica, now):
             return False
         if len(replica.voters()) > self.target_voters:
-            return False  # its vote is the one too many: the learner that stood by has got one already
+            return (
+                False  # the learner that takes over has its vote already, so the vote of this one is surplus
+            )
         voters = [name for name in replica.voters() if name != replica_id]
         holding = sum(self._holds_committed(replica, name) for name in voters)
         return 2 * holding > len(voters) + 1
 
     def has_standby_learner(self, replica: Replica, now: float) -> bool:
-        """Whether a learner is there that can take a vote, now or once it has caught up."""
+        """Return whether a reachable learner can take a vote, now or once it has caught up."""
         return any(
             not member.voter
             and member.replica_id not in self._leaving
@@ -75,7 +80,7 @@
         )
 
     def plan(self, replica: Replica, now: float) -> pb.Membership | None:
-        """The next change that the group needs, one voter at a time; None when there is none."""
+        """Return the next membership that the group needs, at most one voter different; None if none."""
         self._leaving = {name: at for name, at in self._leaving.items() if now - at < LEAVE_NOTICE_TTL_MS}
         if not replica.log.membership_committed:
             return None
@@ -88,7 +93,7 @@
         )
 
     def _promotion(self, replica: Replica, members, voters, now: float) -> pb.Membership | None:
-        """A learner that has caught up becomes a voter, where one is missing or is about to leave."""
+        """Promote a caught-up learner to a voter if a voter is missing or leaving."""
         leaving = any(voter.replica_id in self._leaving for voter in voters)
         missing = len(voters) < self.target_voters
         if not missing and not (leaving and len(voters) == self.target_voters):
@@ -100,7 +105,7 @@
         return _with_voter(members, chosen, voter=True)
 
     def _demotion(self, replica: Replica, members, voters, now: float) -> pb.Membership | None:
-        """With one voter too many, one that leaves becomes a learner; this leader never does."""
+        """Demote a leaving voter to a learner if there is a surplus voter; never demotes this leader."""
         if len(voters) <= self.target_voters:
             self._surplus_since = None
             return None
@@ -109,29 +114,30 @@
         others = [voter for voter in voters if voter.replica_id != replica.id]
         chosen = [voter for voter in others if voter.replica_id in self._leaving]
         if not chosen and now - self._surplus_since > SURPLUS_VOTER_TIMEOUT_MS:
-            # the one that was to leave has ended, or leads no more and runs on
+            # the voter that was leaving has stopped without notice, or continues to run after losing
+            # leadership
             chosen = sorted(others, key=lambda m: (-self._contact_age_ms(replica, m, now), m.replica_id))
         return _with_voter(members, chosen[0], voter=False) if chosen else None
 
     def _removal(self, replica: Replica, members, voters, now: float) -> pb.Membership | None:
-        """A voter that is lost makes room for a learner that has caught up; a lost learner goes."""
+        """Remove a lost voter if a caught-up learner can replace it; remove a lost learner."""
         ready = [m for m in members if not m.voter and self._caught_up(replica, m, now)]
         lost = [m for m in voters if self._contact_age_ms(replica, m, now) > VOTER_LOST_AFTER_MS]
-        most = (len(voters) - 1) // 2  # with more silent ones the fault may be on this side
+        max_lost = (len(voters) - 1) // 2  # if more voters are unreachable, the fault may be on this side
         if (
             ready
             and len(voters) >= self.target_voters
-            and 0 < len(lost) <= most
+            and 0 < len(lost) <= max_lost
             and replica.has_quorum_contact(now)
         ):
             return pb.Membership(members=[m for m in members if m is not lost[0]])
-        gone = [
+        lost_learners = [
             m
             for m in members
             if not m.voter and self._contact_age_ms(replica, m, now) > LEARNER_LOST_AFTER_MS
         ]
-        if gone:
-            return pb.Membership(members=[m for m in members if m is not gone[0]])
+        if lost_learners:
+            return pb.Membership(members=[m for m in members if m is not lost_learners[0]])
         return None
 
     @staticmethod
@@ -154,12 +160,12 @@
         progress = replica.progress.get(member.replica_id)
         if progress is None or progress.match_index == 0:
             return False
-        near = progress.match_index + MAX_LEARNER_LAG_ENTRIES >= replica.log.last_index
-        return near and self._contact_age_ms(replica, member, now) < MAX_CONTACT_AGE_MS
+        has_caught_up = progress.match_index + MAX_LEARNER_LAG_ENTRIES >= replica.log.last_index
+        return has_caught_up and self._contact_age_ms(replica, member, now) < MAX_CONTACT_AGE_MS
 
 
 def _with_voter(members: list[pb.Member], chosen: pb.Member, voter: bool) -> pb.Membership:
-    """The members with one of them made a voter or a learner."""
+    """Return the members, with one of them changed to a voter or a learner."""
     changed = pb.Membership()
     for member in members:
         copy = changed.members.add()
