--- a/molespur/system/shards/__init__.py
+++ b/molespur/system/shards/__init__.py
@@ -1,1 +1,1 @@
-"""How control state is sharded, and the replicas that a process hosts."""
+"""Sharding of the control plane's state, and the replicas that a process hosts."""
--- a/molespur/system/shards/configuration.py
+++ b/molespur/system/shards/configuration.py
@@ -1,4 +1,4 @@
-"""The shard of the operator's configuration: versions that build on one another."""
+"""The shard of the operator configuration: a sequence of versions, each based on the one before it."""
 
 from enum import Enum
 
@@ -9,36 +9,36 @@
 
 
 class PutOutcome(Enum):
-    """What became of a change."""
+    """The result of a configuration change."""
 
-    ACCEPTED = "taken"  # it is in force, or was: also for one that comes again
-    MISMATCH = "mismatch"  # it builds on another version than the current one
-    NOT_NEWER = "not-newer"  # its version is not above the current one
+    ACCEPTED = "taken"  # it is or was in force; also the result when an accepted change is sent again
+    MISMATCH = "mismatch"  # its base version is not the current version
+    NOT_NEWER = "not-newer"  # its version is not higher than the current version
 
 
 @implementer(IStateMachine)
 class ConfigurationStateMachine:
-    """The current configuration, and which changes were ever taken."""
+    """The current configuration and the digests of all changes that were ever accepted."""
 
     def __init__(self):
         self.version, self.body = 0, b""
         self.accepted_digests: dict[bytes, None] = {}
-        self.refused_bases: dict[
-            bytes, int
-        ] = {}  # digest -> base version, where that is above the current one
+        # digest -> base version of each refused change whose base version is above the current version
+        self.refused_bases: dict[bytes, int] = {}
 
     @property
     def size(self) -> int:
-        """Bytes that a snapshot takes, roughly."""
+        """Return the approximate size of a snapshot in bytes."""
         return len(self.body) + 20 * len(self.accepted_digests) + 24 * len(self.refused_bases)
 
     def apply(self, data: bytes) -> tuple[PutOutcome, bytes | None]:
-        """Take one change if it builds on the current version.
+        """Accept a change if its base version is the current version.
 
-        A change that was taken before is told so again, whatever came after it: its first acknowledgement
-        may have been lost, and it must never be refused.  A change that was refused stays refused.  Versions
-        rise, so one on a version below the current one can never be taken; one on a version above it could
-        be later, and is remembered until the current version has passed its base.
+        A change that was accepted before is accepted again, whatever has followed it: its first
+        acknowledgement may have been lost, and an accepted change must never be refused.  A refused change
+        stays refused.  Versions only increase, so a change with a lower base version than the current one can
+        never be accepted.  A change with a higher base version could be accepted later.  It is therefore
+        remembered as refused until the current version has passed its base version.
         """
         command = pb.PutConfiguration.FromString(data)
         if command.digest in self.accepted_digests:
@@ -57,7 +57,7 @@
         return PutOutcome.ACCEPTED, self.feed_snapshot()
 
     def snapshot(self) -> bytes:
-        """All state, for another replica."""
+        """Return the full state, for another replica."""
         state = pb.ConfigurationState(
             version=self.version, body=self.body, taken_digests=list(self.accepted_digests)
         )
@@ -66,12 +66,12 @@
         return state.SerializeToString()
 
     def restore(self, data: bytes) -> None:
-        """Replace the state by that of a snapshot."""
+        """Replace the state by a snapshot."""
         state = pb.ConfigurationState.FromString(data)
         self.version, self.body = state.version, state.body
         self.accepted_digests = dict.fromkeys(state.taken_digests)
         self.refused_bases = {change.digest: change.base_version for change in state.refused}
 
     def feed_snapshot(self) -> bytes:
-        """The current configuration, for the data plane."""
+        """Return the current configuration, for the data plane."""
         return pb.ConfigurationState(version=self.version, body=self.body).SerializeToString()
--- a/molespur/system/shards/group.py
+++ b/molespur/system/shards/group.py
@@ -11,7 +11,7 @@
 from ..errors import ErrorKind, FleetError
 from ..rpc import molespur_pb2 as pb
 from .history import ChangeHistory
-from .lag import LagLog
+from .lag import LagLogLimiter
 from .membership_changes import MembershipPlanner
 
 
@@ -35,7 +35,7 @@
     waiters: dict[int, Waiter] = field(default_factory=dict)
     reads: dict[int, asyncio.Future] = field(default_factory=dict)
     compaction_schedule: CompactionSchedule = field(default_factory=CompactionSchedule)
-    lag: LagLog = field(default_factory=LagLog)
+    lag_log_limiter: LagLogLimiter = field(default_factory=LagLogLimiter)
     _compaction: raft.Compact | None = None
 
     def proposed(self, action: raft.Proposed, outcome: asyncio.Future) -> None:
@@ -88,7 +88,7 @@
     def log_lag(self, now: float) -> None:
         """Log that the replica lacks what its leader names as committed, where that lasts."""
         applied, named = self.replica.log.applied_index, self.replica.leader_commit_index
-        if self.lag.due(now, applied, named):
+        if self.lag_log_limiter.should_log(now, applied, named):
             logging.warning(
                 "%s: lags: applied %d, log ends at %d, its leader names %d, heard %d ms ago",
                 self.name, applied, self.replica.log.last_index, named,
--- a/molespur/system/shards/history.py
+++ b/molespur/system/shards/history.py
@@ -1,7 +1,8 @@
-"""The recent changes of a group, for followers of the feed that lack some of them.  Pure.
+"""The recent changes of a group, for feed followers that lack some of them.  Pure.
 
-A follower that lacks more than is kept is sent the whole state in their place.  A change of the configuration
-is the whole configuration, so their number alone bounds nothing: their bytes are bounded as well.
+A follower that lacks more changes than are kept is sent the full state instead.  Each configuration change
+contains the full configuration, so a limit on the number of changes would not bound the memory; their total
+size is limited as well.
 """
 
 from collections import deque
@@ -12,7 +13,7 @@
 
 
 class ChangeHistory:
-    """Every change after the index `since`, in order."""
+    """All changes after the index `since`, in order."""
 
     def __init__(self, since: int = 0):
         self.since = since
@@ -20,7 +21,7 @@
         self._bytes = 0
 
     def append(self, index: int, payload: bytes) -> None:
-        """Keep one more change; the oldest give way, but for this one."""
+        """Add a change and drop the oldest ones beyond the limits; the newest one is always kept."""
         self._changes.append((index, payload))
         self._bytes += len(payload)
         while len(self._changes) > 1 and (len(self._changes) > MAX_CHANGES or self._bytes > MAX_BYTES):
@@ -28,12 +29,12 @@
             self._bytes -= len(dropped)
 
     def reset(self, index: int) -> None:
-        """The state was replaced by that of a snapshot: no change up to this index is known."""
+        """Drop all changes after the state was replaced by a snapshot of this index."""
         self._changes.clear()
         self._bytes, self.since = 0, index
 
     def after(self, index: int) -> Iterator[tuple[int, bytes]] | None:
-        """The changes after an index; None where some of them are not kept any more."""
+        """Return the changes after an index; None if some of them are no longer kept."""
         if index < self.since:
             return None
         return (change for change in self._changes if change[0] > index)
--- a/molespur/system/shards/interfaces.py
+++ b/molespur/system/shards/interfaces.py
@@ -1,21 +1,21 @@
-"""What a replica group asks of the state that it keeps."""
+"""The interface between a replica group and its state machine."""
 
 from zope.interface import Attribute, Interface
 
 
 class IStateMachine(Interface):
-    """Deterministic state, changed by commands of the log only."""
+    """A deterministic state machine that only commands of the log change."""
 
     def apply(data):
-        """Carry out one command; return (result for the proposer, payload for the feed or None)."""
+        """Execute one command; return (result for the proposer, payload for the feed or None)."""
 
     def snapshot():
-        """All state as bytes, for a replica that lacks the log."""
+        """Return the full state as bytes, for a replica that lacks the log."""
 
     def restore(data):
-        """Replace the state by that of a snapshot."""
+        """Replace the state by a snapshot."""
 
     def feed_snapshot():
-        """All state as bytes, for a process that follows the feed."""
+        """Return the state as bytes, for a process that follows the feed."""
 
-    size = Attribute("bytes that a snapshot takes, roughly")
+    size = Attribute("approximate size of a snapshot in bytes")
--- a/molespur/system/shards/membership_changes.py
+++ b/molespur/system/shards/membership_changes.py
@@ -6,8 +6,7 @@
 - a voter that is leaving.  The learner becomes a voter first, so that the group tolerates as many failures as
   before at every moment.  The next change makes the leaving voter a learner;
 - a voter that has not replied for too long.  That voter is removed first, because a group with a failed voter
-and
-  one additional voter would need all of the others for a majority.
+  and one additional voter would need all of the others for a majority.
 
 Times are in milliseconds on the leader's steady clock.
 """
@@ -63,9 +62,7 @@
         if self.has_standby_learner(replica, now):
             return False
         if len(replica.voters()) > self.target_voters:
-            return (
-                False  # the learner that takes over has its vote already, so the vote of this one is surplus
-            )
+            return False  # a learner already votes in its place, so this voter must be demoted first
         voters = [name for name in replica.voters() if name != replica_id]
         holding = sum(self._holds_committed(replica, name) for name in voters)
         return 2 * holding > len(voters) + 1
@@ -114,8 +111,7 @@
         others = [voter for voter in voters if voter.replica_id != replica.id]
         chosen = [voter for voter in others if voter.replica_id in self._leaving]
         if not chosen and now - self._surplus_since > SURPLUS_VOTER_TIMEOUT_MS:
-            # the voter that was leaving has stopped without notice, or continues to run after losing
-            # leadership
+            # the voter that was leaving has stopped, or has lost leadership and keeps running
             chosen = sorted(others, key=lambda m: (-self._contact_age_ms(replica, m, now), m.replica_id))
         return _with_voter(members, chosen[0], voter=False) if chosen else None
 
--- a/molespur/system/shards/placement.py
+++ b/molespur/system/shards/placement.py
@@ -1,4 +1,4 @@
-"""Which replica group keeps what: one for the configuration, the others by a hash of the service's name."""
+"""Assigns data to replica groups: one for the configuration, the others by a hash of the service name."""
 
 from zlib import crc32
 
@@ -9,5 +9,5 @@
 
 
 def group_of_service(service: str) -> str:
-    """The group that keeps the workers of a service."""
+    """Return the group that stores the workers of a service."""
     return WORKER_GROUPS[crc32(service.encode()) % WORKER_SHARDS]
