--- a/molespur/system/shards/host.py
+++ b/molespur/system/shards/host.py
@@ -1,6 +1,6 @@
-"""The replicas that a control-plane process hosts: carries out what the pure replicas ask for.
+"""The replicas that a control-plane process hosts: executes the actions of the pure replicas.
 
-One process hosts a replica of every group.  Each group has a leader of its own; no log spans two groups.
+Each process hosts one replica of every group.  Each group has its own leader and its own log.
 """
 
 import asyncio
@@ -18,20 +18,25 @@
 from ..storage.store import Store, bootstrap_identity, new_identity
 from .group import HostedGroup
 from .history import ChangeHistory
-from .leaving import Leaving
-from .membership import Membership
+from .leaving import GracefulLeave
+from .membership import MembershipCoordinator
 from .membership_changes import MembershipPlanner
 
-TICK_S = 0.05
-LIFE_BITS = 63
-PROPOSAL_S = 0.85  # callers move on after a second
+TICK_INTERVAL_S = 0.05
+INSTANCE_ID_BITS = 63
+REQUEST_TIMEOUT_S = 0.85  # for proposals and reads; less than the 1 s after which callers give up
 
 
 class ReplicaHost:
-    """All groups of this process, their disk, and the channels to other control-plane processes."""
+    """All groups of this process, their store, and the channels to other control-plane processes."""
 
     def __init__(
-        self, settings, store: Store, machines: dict[str, object], clock: Callable[[], float], random: Random
+        self,
+        settings,
+        store: Store,
+        state_machines: dict[str, object],
+        clock: Callable[[], float],
+        random: Random,
     ):
         self.settings, self.store, self.clock = settings, store, clock
         self.writer = None
@@ -40,26 +45,32 @@
         self.on_restore: Callable[[str], None] = lambda *_: None
         self.on_role_change: Callable[[str], None] = lambda *_: None
         self.on_frame: Callable = lambda *_: None
-        self.replica_id = self._identity(machines)
+        self.replica_id = self._load_or_create_identity(state_machines)
         self.local_member = pb.Member(
             replica_id=self.replica_id,
             rpc_address=settings.rpc_address,
             control_address=settings.listen.get("ControlPlane", ""),
             zone=settings.zone,
         )
-        self._life = secrets.randbits(LIFE_BITS) | 1
-        self.groups = {name: self._open(name, machine, random) for name, machine in machines.items()}
-        self.membership = Membership(self, clock)
-        self.leaving = Leaving(self, clock, settings.bounds.grace_period_s)
+        self._instance_id = secrets.randbits(INSTANCE_ID_BITS) | 1
+        self.groups = {
+            name: self._load_group(name, state_machine, random)
+            for name, state_machine in state_machines.items()
+        }
+        self.membership = MembershipCoordinator(self, clock)
+        self.leaving = GracefulLeave(self, clock, settings.bounds.grace_period_s)
         self._read_numbers = count(1)
 
     # -- Start ---------------------------------------------------------------------------------
 
-    def _identity(self, groups: Iterable[str]) -> str:
-        """The identity of this disk; an empty disk gets one, and at a first start the first membership."""
-        known = self.store.identity()
-        if known is not None:
-            return known
+    def _load_or_create_identity(self, groups: Iterable[str]) -> str:
+        """Return the identity of this disk; an empty disk gets a new one.
+
+        On the first start of a new system the initial membership is written as well.
+        """
+        existing = self.store.identity()
+        if existing is not None:
+            return existing
         address = self.settings.rpc_address
         seeds = self.settings.seed_rpc_addresses()
         if not self.settings.bootstrap or address not in seeds:
@@ -72,15 +83,15 @@
             member = membership.members.add()
             member.replica_id, member.rpc_address = bootstrap_identity(seed), seed
             member.control_address, member.voter = control, True
-        first = raft.Snapshot(1, 1, membership, b"")
-        self.store.write([(name, raft.Persist(raft.HardState(1, ""), snapshot=first)) for name in groups])
+        initial = raft.Snapshot(1, 1, membership, b"")
+        self.store.write([(name, raft.Persist(raft.HardState(1, ""), snapshot=initial)) for name in groups])
         self.store.set_identity(replica_id)
         return replica_id
 
-    def _open(self, name: str, machine, random: Random) -> HostedGroup:
+    def _load_group(self, name: str, state_machine, random: Random) -> HostedGroup:
         loaded = self.store.load(name)
         if loaded.snapshot.state:
-            machine.restore(loaded.snapshot.state)
+            state_machine.restore(loaded.snapshot.state)
         replica = raft.Replica(
             name,
             self.replica_id,
@@ -89,11 +100,11 @@
             loaded.snapshot,
             loaded.entries,
             self.clock(),
-            self._life,
+            self._instance_id,
         )
-        voters = 2 * max(self.settings.fault_tolerance.nodes, 1) + 1
+        target_voters = 2 * max(self.settings.fault_tolerance.nodes, 1) + 1
         history = ChangeHistory(loaded.snapshot.index)
-        return HostedGroup(name, replica, machine, MembershipPlanner(voters), history)
+        return HostedGroup(name, replica, state_machine, MembershipPlanner(target_voters), history)
 
     async def run(self) -> None:
         """Tick until cancelled."""
@@ -101,57 +112,57 @@
             self.dial(address)
         while True:
             self.tick()
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
     def set_writer(self, writer) -> None:
-        """Write to the disk with this writer from now on."""
+        """Use this writer for all records from now on."""
         self.writer = writer
 
     def tick(self) -> None:
-        """What is due now, in every group."""
+        """Run the periodic work of every group."""
         now = self.clock()
         for group in self.groups.values():
             self.handle(group, raft.Tick())
             self.membership.plan(group, now)
             group.log_lag(now)
-        self.membership.maybe_join(now)
+        self.membership.request_join(now)
 
     def reseed(self, settings) -> None:
-        """Other seeds are known from now on."""
+        """Connect to the seed nodes of changed settings."""
         for address in settings.seed_rpc_addresses():
             self.dial(address)
 
     async def stop(self) -> None:
-        """Pass leads and votes on, then write no more."""
+        """Hand over leadership and votes, then stop the writer."""
         await self.leaving.run()
         if self.writer is not None:
             self.writer.stop()
 
-    def transfer_lead(self, group: HostedGroup) -> None:
-        """Hand the lead of a group over."""
+    def transfer_leadership(self, group: HostedGroup) -> None:
+        """Transfer the leadership of a group to another replica."""
         self.handle(group, raft.TransferLeadership())
 
     def broadcast(self, frame: pb.Frame) -> None:
-        """Send a frame to every other control-plane process that is known."""
+        """Send a frame to all other known control-plane processes."""
         for dialer in self.dialers.values():
             dialer.send(frame)
 
-    # -- What others ask ---------------------------------------------------------------------------
+    # -- Requests ------------------------------------------------------------------------------
 
     def is_leader(self, group: str) -> bool:
-        """Whether this process owns the group now."""
+        """Return whether the replica of this process considers itself the leader of the group."""
         return self.groups[group].replica.role is raft.Role.LEADER
 
     def has_lease(self, group: str) -> bool:
-        """Whether this process leads the group and a majority has followed it lately."""
+        """Return whether this process leads the group and a majority has followed it recently."""
         return self.groups[group].replica.has_lease(self.clock())
 
     def has_quorum_contact(self, group: str) -> bool:
-        """Whether this process leads the group and can still commit: what it is asked is worth proposing."""
+        """Return whether this process leads the group and has had contact with a majority recently."""
         return self.groups[group].replica.has_quorum_contact(self.clock())
 
     def leader(self, group: str) -> pb.Member | None:
-        """The group's leader, as far as known."""
+        """Return the leader of the group; None if there was no contact with a leader recently."""
         replica = self.groups[group].replica
         if (
             replica.role is not raft.Role.LEADER
@@ -161,22 +172,23 @@
         return replica.member(replica.leader_id)
 
     def state_age_ms(self, name: str | None = None) -> float:
-        """Time since which something may have been acknowledged that a group's state here lacks.
+        """Return how long ago a write may have been acknowledged that the local state of a group lacks.
 
-        Of the oldest group where none is named; `inf` where nothing is certain.
+        Without a name, the highest age of all groups; `inf` if the age is unknown.
         """
         now = self.clock()
         groups = self.groups.values() if name is None else [self.groups[name]]
         return max(group.replica.state_age_ms(now) for group in groups)
 
     def members(self) -> list[pb.Member]:
-        """The members of the configuration's group."""
+        """Return the members of the configuration group."""
         return list(next(iter(self.groups.values())).replica.log.membership.members)
 
     async def propose(self, name: str, data: bytes) -> object:
-        """Put a command into the log; return what the state machine said once it is committed.
+        """Append a command to the log; return the result of the state machine once it is committed.
 
-        Raises FleetError: NO_LEADER when it was not taken, OUTCOME_UNKNOWN when it may be.
+        Raises FleetError: NO_LEADER if the command was not accepted, OUTCOME_UNKNOWN if it may still be
+        committed.
         """
         group = self.groups[name]
         if not group.replica.has_quorum_contact(self.clock()):
@@ -185,36 +197,36 @@
         actions = group.replica.handle(self.clock(), raft.Propose(data))
         for action in actions:
             if isinstance(action, raft.Proposed):
-                group.proposed(action, outcome)
+                group.add_pending_proposal(action, outcome)
             elif isinstance(action, raft.NotLeader):
                 outcome.set_exception(FleetError(ErrorKind.NO_LEADER, name))
-        self._carry_out(group, actions)
+        self._execute(group, actions)
         try:
-            return await asyncio.wait_for(outcome, PROPOSAL_S)
+            return await asyncio.wait_for(outcome, REQUEST_TIMEOUT_S)
         except TimeoutError as error:
             raise FleetError(ErrorKind.OUTCOME_UNKNOWN, name) from error
 
     async def read(self, name: str) -> object:
-        """The group's state machine once it certainly holds all that was acknowledged before this call.
+        """Return the state machine of a group once it has every write that was acknowledged before this call.
 
-        Raises FleetError(NO_LEADER) when this process can't tell.
+        Raises FleetError(NO_LEADER) if this process cannot confirm that.
         """
         group = self.groups[name]
         number = next(self._read_numbers)
-        outcome = group.reads[number] = asyncio.get_running_loop().create_future()
+        outcome = group.pending_reads[number] = asyncio.get_running_loop().create_future()
         self.handle(group, raft.Read(number))
         try:
-            confirmed = await asyncio.wait_for(outcome, PROPOSAL_S)
+            confirmed = await asyncio.wait_for(outcome, REQUEST_TIMEOUT_S)
         except TimeoutError:
             confirmed = False
         finally:
-            del group.reads[number]
+            del group.pending_reads[number]
         if not confirmed:
             raise FleetError(ErrorKind.NO_LEADER, name)
         return group.state_machine
 
     def receive(self, message: pb.ConsensusMessage) -> None:
-        """Take a message of another replica, if it is for the identity of this disk."""
+        """Handle a message from another replica if it is addressed to the identity of this disk."""
         dialer = self.dialers.get(message.sender.partition("#")[0])
         if dialer is not None:
             dialer.peer_alive()
@@ -224,16 +236,16 @@
         if message.receiver == self.replica_id:
             self.handle(group, raft.Received(message))
         elif group.replica.role is raft.Role.NON_MEMBER:
-            # meant for a disk that was here before: its sender can take this replica in
+            # addressed to a previous disk at this address: its sender can admit this replica
             self.dial(message.sender.partition("#")[0])
 
     # -- Actions -----------------------------------------------------------------------------------
 
     def handle(self, group: HostedGroup, event: raft.Event) -> None:
-        """Give one event to a group's replica, and carry out what it calls for."""
-        self._carry_out(group, group.replica.handle(self.clock(), event))
+        """Pass an event to the replica of a group and execute the resulting actions."""
+        self._execute(group, group.replica.handle(self.clock(), event))
 
-    def _carry_out(self, group: HostedGroup, actions: list[raft.Action]) -> None:
+    def _execute(self, group: HostedGroup, actions: list[raft.Action]) -> None:
         for action in actions:
             match action:
                 case raft.Send(member, message):
@@ -249,33 +261,36 @@
                     group.restore(snapshot)
                     self.on_restore(group.name)
                 case raft.ReadConfirmed(number):
-                    group.read_ended(number, True)
+                    group.resolve_read(number, True)
                 case raft.ReadRefused(number):
-                    group.read_ended(number, False)
+                    group.resolve_read(number, False)
                 case raft.RoleChanged(role, leader):
                     logging.info(
-                        "%s: %s, leader %s", group.name, role.value, leader.replica_id if leader else "?"
+                        "%s: role %s, leader %s",
+                        group.name,
+                        role.value,
+                        leader.replica_id if leader else "unknown",
                     )
                     if role is not raft.Role.LEADER:
-                        group.fail_waiters()
+                        group.fail_pending_proposals()
                     self.on_role_change(group.name)
         compaction = group.take_compaction()
-        if compaction is not None:  # after all other actions, whose records come before it
+        if compaction is not None:  # after all other actions: their records are written before it
             self.handle(group, compaction)
 
     def handle_written(self, name: str, record: raft.Persist) -> None:
-        """A record is on the disk."""
+        """Continue after a record was written to disk."""
         group = self.groups[name]
-        self._carry_out(group, record.send_after_sync)
+        self._execute(group, record.send_after_sync)
         self.handle(group, raft.Persisted(record.sequence))
 
     def dial(self, address: str) -> None:
-        """Keep a channel to another control-plane process from now on."""
+        """Open a channel to another control-plane process and keep it open."""
         if address and address != self.settings.rpc_address and address not in self.dialers:
             self.dialers[address] = Dialer(
-                address, self.on_frame, self._opened, bind_ip=self.settings.bind_ip
+                address, self.on_frame, self._handle_channel_opened, bind_ip=self.settings.bind_ip
             )
 
-    def _opened(self, _channel) -> None:
-        """A channel to another process has opened: who is outside asks at once to be taken in."""
-        self.membership.join_soon()
+    def _handle_channel_opened(self, _channel) -> None:
+        """Allow a join request at once, if one is needed, now that another process is reachable."""
+        self.membership.reset_join_interval()
--- a/molespur/system/shards/leaving.py
+++ b/molespur/system/shards/leaving.py
@@ -1,8 +1,9 @@
-"""The end of a control-plane process that was told to stop: leads and votes are passed on first.
+"""Graceful stop of a control-plane process: it hands over leadership and votes first.
 
-A lead goes to another voter.  A vote goes to a learner that stands by, in changes that a majority commits; a
-process whose machine is to be replaced so leaves its group as large as it was.  With no learner there the
-process only waits until enough others hold all that is committed, and keeps its vote for its return.
+Leadership goes to another voter.  A vote goes to a standby learner through membership changes that a majority
+commits, so that a group keeps its size when the host of one process is replaced.  Without a standby learner
+the process only waits until enough other voters hold all committed entries, and keeps its vote until it
+returns.
 """
 
 import asyncio
@@ -13,58 +14,58 @@
 from ..consensus import replica as raft
 from ..rpc import molespur_pb2 as pb
 
-STEP_S = 0.05
-MARGIN_S = 3.0  # of the grace period, kept for answering what is under way
-LEAST_S = 0.6  # waited for in any case
+POLL_INTERVAL_S = 0.05
+GRACE_PERIOD_MARGIN_S = 3.0  # part of the grace period reserved for completing open requests
+MIN_TIMEOUT_S = 0.6  # used if the grace period leaves less time
 
 
-class Leaving:
-    """One process's way out of its groups."""
+class GracefulLeave:
+    """Hands over the leadership and votes of one process in all its groups."""
 
     def __init__(self, host, clock: Callable[[], float], grace_s: float):
         self.host, self.clock = host, clock
-        self.limit_ms = max(grace_s - MARGIN_S, LEAST_S) * 1000.0
-        self.released: set[str] = set()
+        self.timeout_ms = max(grace_s - GRACE_PERIOD_MARGIN_S, MIN_TIMEOUT_S) * 1000.0
+        self.released: set[str] = set()  # groups that no longer need this process
 
     async def run(self) -> None:
-        """Return once this process is needed no longer, or its time is nearly over."""
-        until = self.clock() + self.limit_ms
-        while self.clock() < until:
-            held = self.step()
-            if not held:
+        """Return once no group needs this process any longer, or after the timeout."""
+        deadline = self.clock() + self.timeout_ms
+        while self.clock() < deadline:
+            needed_by = self.request_release()
+            if not needed_by:
                 return
-            await asyncio.sleep(STEP_S)
-        logging.warning("stopping although a vote or a lead could not be passed on")
+            await asyncio.sleep(POLL_INTERVAL_S)
+        logging.warning("stopping before all leadership and votes were handed over")
 
-    def step(self) -> list[str]:
-        """Ask for what is left to be done; return the groups that still hold this process."""
-        held = [name for name, group in self.host.groups.items() if self._held(name, group)]
-        if held:
-            request = pb.LeaveRequest(replica_id=self.host.replica_id, groups=held)
+    def request_release(self) -> list[str]:
+        """Request to leave the groups that still need this process; return their names."""
+        needed_by = [name for name, group in self.host.groups.items() if self._is_needed(name, group)]
+        if needed_by:
+            request = pb.LeaveRequest(replica_id=self.host.replica_id, groups=needed_by)
             self.host.broadcast(pb.Frame(leave_request=request))
-        return held
+        return needed_by
 
     def handle_leave_reply(self, reply: pb.LeaveReply) -> None:
-        """A leader has let this process go, in these groups."""
+        """Record the groups whose leader has confirmed that this process may leave."""
         self.released.update(reply.groups)
 
-    def _held(self, name: str, group) -> bool:
+    def _is_needed(self, name: str, group) -> bool:
         replica = group.replica
         if replica.role is raft.Role.LEADER:
             self.released.discard(name)
-            return self._pass_lead_on(group)
+            return self._hand_over_leadership(group)
         return name not in self.released and replica.role is not raft.Role.NON_MEMBER
 
-    def _pass_lead_on(self, group) -> bool:
-        """Move on with a lead; whether there is anybody to take it."""
+    def _hand_over_leadership(self, group) -> bool:
+        """Take the next step of handing over leadership; return whether any replica can take it."""
         replica, planner = group.replica, group.planner
         if len(replica.voters()) == 1:
             return planner.has_standby_learner(replica, self.clock())
         planner.record_leaving(self.host.replica_id, self.clock())
-        vote_is_next = (
+        vote_moves_first = (
             planner.has_standby_learner(replica, self.clock())
             and len(replica.voters()) <= planner.target_voters
         )
-        if not vote_is_next and not replica.transfer_target_id and replica.log.membership_committed:
-            self.host.transfer_lead(group)
+        if not vote_moves_first and not replica.transfer_target_id and replica.log.membership_committed:
+            self.host.transfer_leadership(group)
         return True
--- a/molespur/system/shards/membership.py
+++ b/molespur/system/shards/membership.py
@@ -1,4 +1,4 @@
-"""Who comes into the groups of a process and who leaves them: what others ask, and what the leader plans."""
+"""Joining and leaving replica groups: requests of other processes and changes planned by the leader."""
 
 from collections.abc import Callable
 
@@ -6,46 +6,46 @@
 from ..rpc import molespur_pb2 as pb
 from .group import HostedGroup
 
-JOIN_MS = 500.0
+JOIN_INTERVAL_MS = 500.0
 
 
-class Membership:
-    """The changes of members, for all groups of one process."""
+class MembershipCoordinator:
+    """Coordinates the membership changes of all groups of one process."""
 
     def __init__(self, host, clock: Callable[[], float]):
         self.host, self.clock = host, clock
-        self._joined_at = float("-inf")
+        self._last_join_request_at_ms = float("-inf")
 
-    def join_soon(self) -> None:
-        """Ask to be taken in at the next look, where that is needed."""
-        self._joined_at = float("-inf")
+    def reset_join_interval(self) -> None:
+        """Send the next join request, where one is needed, without waiting for the interval."""
+        self._last_join_request_at_ms = float("-inf")
 
     def plan(self, group: HostedGroup, now: float) -> None:
-        """Propose the next change that a group needs, where this process leads it."""
+        """Propose the next membership change that a group needs, if this process leads it."""
         if group.replica.role is raft.Role.LEADER:
             membership = group.planner.plan(group.replica, now)
             if membership is not None:
                 self.host.handle(group, raft.ChangeMembership(membership))
 
-    def maybe_join(self, now: float) -> None:
-        """Ask all others to take in what is outside, or has not heard of a leader for long."""
-        if now - self._joined_at < JOIN_MS:
+    def request_join(self, now: float) -> None:
+        """Request to join the groups where the replica is not a member or has long had no leader contact."""
+        if now - self._last_join_request_at_ms < JOIN_INTERVAL_MS:
             return
-        self._joined_at = now
+        self._last_join_request_at_ms = now
         groups = self.host.groups.values()
-        outside = [g.name for g in groups if g.replica.member(self.host.replica_id) is None]
-        lost = [
+        not_member = [g.name for g in groups if g.replica.member(self.host.replica_id) is None]
+        without_leader = [
             g.name
             for g in groups
             if g.replica.ms_since_leader_contact(now) > 2 * raft.MAX_ELECTION_TIMEOUT_MS
-            and g.name not in outside
+            and g.name not in not_member
         ]
-        if outside or lost:
-            request = pb.JoinRequest(member=self.host.local_member, groups=outside + lost)
+        if not_member or without_leader:
+            request = pb.JoinRequest(member=self.host.local_member, groups=not_member + without_leader)
             self.host.broadcast(pb.Frame(join=request))
 
     def handle_join_request(self, request: pb.JoinRequest) -> None:
-        """A replica that is in no membership asks to be taken in; it may not know who leads."""
+        """Admit a replica to the groups led here; forward its request for other groups to their leaders."""
         self.host.dial(request.member.rpc_address)
         for name in request.groups:
             group = self.host.groups.get(name)
@@ -66,7 +66,7 @@
             dialer.send(pb.Frame(join=forwarded))
 
     def handle_leave_request(self, request: pb.LeaveRequest) -> pb.LeaveReply:
-        """A replica's process was told to stop: the groups led here that need it no longer."""
+        """Return the groups led here that no longer need the replica of a stopping process."""
         released = []
         for name in request.groups:
             group = self.host.groups.get(name)
--- a/molespur/system/shards/membership_changes.py
+++ b/molespur/system/shards/membership_changes.py
@@ -25,8 +25,8 @@
 class MembershipPlanner:
     """Plans the next membership change of one group."""
 
-    def __init__(self, voters: int):
-        self.target_voters = voters
+    def __init__(self, target_voters: int):
+        self.target_voters = target_voters
         self._leaving: dict[str, float] = {}  # replica -> time of its last leave notice
         self._surplus_since: float | None = None
 
--- a/tests/system/mutations/breaks.py
+++ b/tests/system/mutations/breaks.py
@@ -86,7 +86,7 @@
     Break("a proposal without contact", SHARDS + "host.py",
           "if not group.replica.has_quorum_contact(self.clock()):", "if False:", CUT_TESTS),
     Break("a caller who waits although the lead is lost", SHARDS + "host.py",
-          "group.fail_waiters()", "pass", CUT_TESTS + (TESTS + "test_liveness_contact.py",)),
+          "group.fail_pending_proposals()", "pass", CUT_TESTS + (TESTS + "test_liveness_contact.py",)),
     Break("a heartbeat acknowledged without contact", "molespur/system/control_plane/calls.py",
           "if not self.host.has_lease(name):\n            raise", "if False:\n            raise",
           CUT_TESTS + (TESTS + "test_liveness_contact.py",)),
@@ -110,7 +110,7 @@
           "if command.base_version < self.version or command.digest in self.refused_bases:", HISTORY_TESTS),
     # -- Point 3: votes that pass on ----------------------------------------------------------------------
     Break("a stop that keeps the vote", SHARDS + "leaving.py",
-          "await asyncio.sleep(STEP_S)", "return", LOSS_TESTS),
+          "await asyncio.sleep(POLL_INTERVAL_S)", "return", LOSS_TESTS),
     Break("a silent voter that keeps its vote for long", SHARDS + "membership_changes.py",
           "VOTER_LOST_AFTER_MS = 1200.0", "VOTER_LOST_AFTER_MS = 6000.0", LOSS_TESTS),
     Break("a process that ends with the only other copy", SHARDS + "membership_changes.py",
