--- a/molespur/system/storage/__init__.py
+++ b/molespur/system/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What a control-plane process keeps on its disk."""
+"""The persistent state of a control-plane process."""
--- a/molespur/system/storage/store.py
+++ b/molespur/system/storage/store.py
@@ -1,8 +1,10 @@
-"""The disk of a control-plane process: one sqlite3 database for all replicas that it hosts.
+"""The store of a control-plane process: one sqlite3 database for all replicas that it hosts.
 
-Every write is a transaction that is synced before it counts (`synchronous=FULL` on a write-ahead log, so one
-sync for each transaction).  Records that wait together share one.  The identity of the disk is made with the
-database: a process that finds an empty folder has another identity than the one that kept its state there.
+Every write is a transaction that is synced before `write` returns.  With `synchronous=FULL` on a write-ahead
+log this takes one sync for each transaction, and records that wait at the same time share a transaction.
+
+The database also holds the identity of the replicas.  A process that starts with an empty directory therefore
+has another identity than the process that stored its state there before.
 """
 
 import os
@@ -29,7 +31,7 @@
 
 @dataclass(slots=True)
 class StoredGroup:
-    """What the disk holds of one replica group."""
+    """The stored state of one replica group."""
 
     hard_state: HardState
     snapshot: Snapshot
@@ -37,33 +39,35 @@
 
 
 class Store:
-    """One database.  Calls block for as long as the disk takes; errors are sqlite3.Error."""
+    """One database.  Calls block until the disk has finished; they raise sqlite3.Error."""
 
-    def __init__(self, folder: str | Path):
-        folder = Path(folder)
-        folder.mkdir(parents=True, exist_ok=True)
-        self.connection = sqlite3.connect(folder / FILE_NAME, isolation_level=None, check_same_thread=False)
+    def __init__(self, directory: str | Path):
+        directory = Path(directory)
+        directory.mkdir(parents=True, exist_ok=True)
+        self.connection = sqlite3.connect(
+            directory / FILE_NAME, isolation_level=None, check_same_thread=False
+        )
         for pragma in ("locking_mode=EXCLUSIVE", "journal_mode=WAL", "synchronous=FULL", "cache_size=-512"):
             self.connection.execute(f"pragma {pragma}").fetchall()
         self.connection.executescript(SCHEMA)
-        _sync_folder(folder)
+        _sync_directory(directory)
 
     def identity(self) -> str | None:
-        """The identity of this disk; None on one that has none yet."""
+        """Return the identity of this disk; None if it has none yet."""
         row = self.connection.execute("select replica from identity").fetchone()
         return row[0] if row else None
 
     def set_identity(self, replica_id: str) -> None:
-        """Give the disk its identity, once."""
+        """Store the identity of this disk; fails if it has one already."""
         self.connection.execute("insert into identity values (1, ?)", (replica_id,))
 
     def groups(self) -> list[str]:
-        """The replica groups that the disk holds something of."""
+        """Return the replica groups that have stored state."""
         rows = self.connection.execute("select grp from snapshots union select grp from hard_state")
         return [row[0] for row in rows]
 
     def load(self, group: str) -> StoredGroup:
-        """All that is kept of a group."""
+        """Load the stored state of a group."""
         row = self.connection.execute("select term, vote from hard_state where grp = ?", (group,)).fetchone()
         hard_state = HardState(*row) if row else HardState()
         row = self.connection.execute(
@@ -78,12 +82,12 @@
         return StoredGroup(hard_state, snapshot, entries)
 
     def write(self, records: Iterable[tuple[str, Persist]]) -> None:
-        """Write records of several groups in one transaction; they are on the disk when this returns."""
+        """Write records of several groups in one transaction, which is on disk when this returns."""
         cursor = self.connection
         cursor.execute("begin immediate")
         try:
             for group, record in records:
-                self._write_one(cursor, group, record)
+                self._write_record(cursor, group, record)
             strike(FaultPoint.BEFORE_COMMIT)
             cursor.execute("commit")
         except sqlite3.Error:
@@ -93,7 +97,7 @@
         strike(FaultPoint.AFTER_COMMIT)
 
     @staticmethod
-    def _write_one(cursor: sqlite3.Connection, group: str, record: Persist) -> None:
+    def _write_record(cursor: sqlite3.Connection, group: str, record: Persist) -> None:
         state, snapshot = record.hard_state, record.snapshot
         cursor.execute("insert or replace into hard_state values (?, ?, ?)", (group, state.term, state.vote))
         if snapshot is not None:
@@ -113,17 +117,17 @@
 
 
 def new_identity(address: str) -> str:
-    """An identity for a disk that came without one: no earlier disk at this address had it."""
+    """Return a new identity for an empty disk, different from that of any earlier disk at this address."""
     return f"{address}#{secrets.token_hex(6)}"
 
 
 def bootstrap_identity(address: str) -> str:
-    """The identity of the first disk at an address, which all processes of a new system can work out."""
+    """Return the identity of the first disk at an address; all processes of a new system can derive it."""
     return f"{address}#0"
 
 
-def _sync_folder(folder: Path) -> None:
-    descriptor = os.open(folder, os.O_RDONLY)
+def _sync_directory(directory: Path) -> None:
+    descriptor = os.open(directory, os.O_RDONLY)
     try:
         os.fsync(descriptor)
     finally:
