--- a/tests/system/test_consensus.py
+++ b/tests/system/test_consensus.py
@@ -29,7 +29,7 @@
     group.run(3000)
     proposed = group.propose(b"a")
     group.run(200)
-    assert group.acknowledged(proposed)
+    assert group.is_acknowledged(proposed)
     assert all(history == [b"a"] for history in commands(group).values())
 
 
@@ -56,7 +56,7 @@
     assert leader.replica.role is not raft.Role.LEADER, "a leader that nobody answers steps down"
     kept = group.propose(b"kept")
     group.run(300)
-    assert group.acknowledged(kept)
+    assert group.is_acknowledged(kept)
     settled(group, [b"kept"])
 
 
@@ -104,11 +104,11 @@
         for _ in range(60):
             group.run(20)
             new = group.leader()
-            if new is not old and group.acknowledged(group.propose(b"new")):
+            if new is not old and group.is_acknowledged(group.propose(b"new")):
                 break
             proposed = group.propose(b"new") if new is not old else None
             group.run(12)
-            if group.acknowledged(proposed):
+            if group.is_acknowledged(proposed):
                 break
         assert b"new" not in old.state_machine.commands
         stale_reads += old.replica.has_lease(group.now)
@@ -169,7 +169,7 @@
     group.sync_ms = 10_000.0
     proposed = group.propose(b"unsynced")
     group.run(500)
-    assert not group.acknowledged(proposed)
+    assert not group.is_acknowledged(proposed)
 
 
 def test_a_leader_with_a_hanging_disk_commits_through_the_others():
@@ -180,7 +180,7 @@
     group.write = lambda process, record: None if process is leader else write(process, record)
     proposed = group.propose(b"through the others")
     group.run(300)
-    assert group.acknowledged(proposed)
+    assert group.is_acknowledged(proposed)
 
 
 def test_all_without_power_keep_what_was_acknowledged():
@@ -188,7 +188,7 @@
     group.run(3000)
     proposed = group.propose(b"kept")
     group.run(100)
-    assert group.acknowledged(proposed)
+    assert group.is_acknowledged(proposed)
     for address in list(group.processes):
         group.kill(address)
     group.run(1000)
@@ -202,7 +202,7 @@
         group = VirtualGroup(seed)
         group.run(3000)
         proposed = group.propose(b"kept")
-        while not group.acknowledged(proposed):
+        while not group.is_acknowledged(proposed):
             group.run(1)
         for address in list(group.processes):
             group.kill(address)
@@ -307,8 +307,8 @@
                 if group.leader() is not None:
                     group.leader().handle(raft.TransferLeadership())
         group.run(100 + 300 * amount)
-        kept += [data for data, proposed in waiting if group.acknowledged(proposed)]
-        waiting = [(data, proposed) for data, proposed in waiting if not group.acknowledged(proposed)]
+        kept += [data for data, proposed in waiting if group.is_acknowledged(proposed)]
+        waiting = [(data, proposed) for data, proposed in waiting if not group.is_acknowledged(proposed)]
     group.loss = 0.0
     for down in sorted(group.down):
         group.restart(down)
--- a/tests/system/virtual_group.py
+++ b/tests/system/virtual_group.py
@@ -1,6 +1,6 @@
-"""A whole replica group in one test: virtual clock, a network that loses and cuts, disks that vanish.
+"""A complete replica group in one test: virtual time, a lossy network, cut links, disks that can be lost.
 
-Everything follows from one seed.
+Every run is determined by its seed.
 """
 
 from heapq import heappop, heappush
@@ -15,7 +15,7 @@
 
 
 class Disk:
-    """What one replica has synced; a record that is being written is lost with the power."""
+    """The synced state of one replica; a record that is being written is lost at a power failure."""
 
     def __init__(self, identity):
         self.identity = identity
@@ -37,7 +37,7 @@
 
 
 class CommandList:
-    """A state machine that keeps the commands in order."""
+    """A state machine that stores the commands in order."""
 
     def __init__(self):
         self.commands = []
@@ -53,7 +53,7 @@
 
 
 class Process:
-    """One process: a replica, its state machine, and its disk."""
+    """One process: a replica, its state machine and its disk."""
 
     def __init__(self, group, address, disk):
         self.group, self.address, self.disk = group, address, disk
@@ -70,9 +70,9 @@
             group.now,
         )
         self.planner = MembershipPlanner(3)
-        self.waiters = {}  # index -> (term, what to call with the outcome)
-        self.on_read = {}  # number -> what to call once the read is confirmed
-        self.reads = {}  # number -> commands that the read was answered with; None: refused
+        self.waiters = {}  # index -> (term, callback for the outcome)
+        self.on_read = {}  # number -> callback for the confirmed read
+        self.reads = {}  # number -> commands that the read returned; None if it was refused
 
     def handle(self, event):
         actions = self.replica.handle(self.group.now, event)
@@ -84,7 +84,7 @@
                     self.group.write(self, action)
                 case raft.Apply(entry):
                     self.apply(entry)
-                    self.group.applied(entry)
+                    self.group.check_applied(entry)
                 case raft.Restore(snapshot):
                     self.state_machine.restore(snapshot.state)
                 case raft.ReadConfirmed(number):
@@ -99,9 +99,9 @@
 
     def apply(self, entry):
         outcome = self.state_machine.apply(entry.data) if entry.kind == pb.COMMAND else None
-        term, told = self.waiters.pop(entry.index, (0, None))
-        if told is not None and term == entry.term:
-            told(outcome)
+        term, callback = self.waiters.pop(entry.index, (0, None))
+        if callback is not None and term == entry.term:
+            callback(outcome)
 
     def tick(self):
         self.handle(raft.Tick())
@@ -112,18 +112,18 @@
         if self.replica.log.applied_index - self.replica.log.snapshot.index > self.group.compact_after:
             self.handle(raft.Compact(self.replica.log.applied_index, self.state_machine.snapshot()))
         if self.replica.member(self.replica.id) is None:
-            self.group.ask_to_join(self)
+            self.group.request_join(self)
 
 
 class VirtualGroup:
-    """Processes, the network between them, and what was committed where."""
+    """The processes, the network between them, and the committed entries by index."""
 
     def __init__(self, seed, count=3, loss=0.0, sync_ms=5.0, state_machine=CommandList):
         self.make_state_machine, self.compact_after = state_machine, 8
         self.random, self.now, self.loss, self.sync_ms = Random(seed), 0.0, loss, sync_ms
         self.queue, self.serial = [], 0
         self.cut_links, self.down, self.processes = set(), set(), {}
-        self.frozen = {}  # address -> what has come for it since, as (call, arguments)
+        self.frozen = {}  # address -> calls that wait until the process runs again, as (call, arguments)
         self.committed, self.sent_bytes = {}, 0
         addresses = [f"10.0.0.{n}:1" for n in range(1, count + 1)]
         membership = pb.Membership(
@@ -149,22 +149,22 @@
             self.schedule(TICK_MS, self._tick, process)
 
     def kill(self, address):
-        """Power goes: what was not synced is lost, and all that is on its way to it."""
+        """Fail the power of a process: unsynced records and messages in flight to it are lost."""
         self.frozen.pop(address, None)
         self.down.add(address)
 
     def freeze(self, address, ms):
-        """The process stands still; what comes meanwhile waits in its sockets, and is read first."""
+        """Pause a process; what arrives meanwhile is handled first when it resumes."""
         if address not in self.frozen:
             self.frozen[address] = []
-            self.schedule(ms, self._thaw, address)
+            self.schedule(ms, self._resume, address)
 
-    def _thaw(self, address):
+    def _resume(self, address):
         for call, arguments in self.frozen.pop(address, ()):
             call(*arguments)
 
     def when_awake(self, address, call, *arguments):
-        """Call now, or once the process runs again."""
+        """Call now, or when the process resumes."""
         if address in self.frozen:
             self.frozen[address].append((call, arguments))
         else:
@@ -174,7 +174,7 @@
         return self.start(address, self.processes[address].disk)
 
     def wipe(self, address):
-        """It comes back with an empty disk, under another identity."""
+        """Start a process with an empty disk and a new identity."""
         self.serial += 1
         return self.start(address, Disk(f"{address}#{self.serial}"))
 
@@ -185,11 +185,11 @@
         heappush(self.queue, (self.now + delay, self.serial, call, arguments))
 
     def run(self, ms):
-        until = self.now + ms
-        while self.queue and self.queue[0][0] <= until:
+        end = self.now + ms
+        while self.queue and self.queue[0][0] <= end:
             self.now, _, call, arguments = heappop(self.queue)
             call(*arguments)
-        self.now = until
+        self.now = end
 
     def send(self, sender, member, message):
         receiver = member.rpc_address
@@ -204,9 +204,9 @@
         process = self.processes.get(receiver)
         cut = frozenset((sender, receiver)) in self.cut_links
         if process and receiver not in self.down and not cut and message.receiver == process.replica.id:
-            self.when_awake(receiver, self._take, process, message)
+            self.when_awake(receiver, self._deliver, process, message)
 
-    def _take(self, process, message):
+    def _deliver(self, process, message):
         if self.processes.get(process.address) is process and process.address not in self.down:
             process.handle(raft.Received(message))
 
@@ -225,32 +225,32 @@
         if self.processes.get(process.address) is not process or process.address in self.down:
             return
         process.disk.write(record)
-        self.when_awake(process.address, self._told, process, record)
+        self.when_awake(process.address, self._report_written, process, record)
 
-    def _told(self, process, record):
+    def _report_written(self, process, record):
         if self.processes.get(process.address) is not process or process.address in self.down:
             return
         for send in record.send_after_sync:
             self.send(process, send.member, send.message)
         process.handle(raft.Persisted(record.sequence))
 
-    def ask_to_join(self, process):
+    def request_join(self, process):
         for other in self.processes.values():
-            apart = (
+            disconnected = (
                 other.address in self.down or frozenset((other.address, process.address)) in self.cut_links
             )
-            if other.replica.role is raft.Role.LEADER and not apart:
+            if other.replica.role is raft.Role.LEADER and not disconnected:
                 member = pb.Member(replica_id=process.replica.id, rpc_address=process.address)
                 membership = other.planner.admit(other.replica, member)
                 if membership is not None:
                     other.handle(raft.ChangeMembership(membership))
 
-    # -- What tests ask ------------------------------------------------------------------------
+    # -- Checks and operations for tests -------------------------------------------------------
 
-    def applied(self, entry):
-        """No two replicas ever apply different entries at one index."""
+    def check_applied(self, entry):
+        """Check that no two replicas apply different entries at the same index."""
         known = self.committed.setdefault(entry.index, (entry.term, entry.data))
-        assert known == (entry.term, entry.data), f"two values at {entry.index}"
+        assert known == (entry.term, entry.data), f"two different entries at index {entry.index}"
 
     def leader(self):
         leaders = [
@@ -259,7 +259,7 @@
         return max(leaders, key=lambda p: p.replica.hard_state.term, default=None)
 
     def propose(self, data):
-        """Propose at the newest leader; return the place of the entry, or None."""
+        """Propose at the leader with the highest term; return the Proposed action or None."""
         leader = self.leader()
         if leader is None:
             return None
@@ -268,8 +268,8 @@
                 return action
         return None
 
-    def acknowledged(self, proposed):
-        """Whether the entry at this place is committed in the term that it was proposed in."""
+    def is_acknowledged(self, proposed):
+        """Return whether the entry is committed with the term in which it was proposed."""
         return proposed is not None and self.committed.get(proposed.index, (None,))[0] == proposed.term
 
     def isolate(self, address):
--- a/tests/system/virtual_time.py
+++ b/tests/system/virtual_time.py
@@ -1,17 +1,17 @@
-"""An event loop whose time is the test's: timers fire in order as soon as no socket has anything to do.
+"""An event loop with virtual time: when no socket is ready, time jumps to the next timer.
 
-Sockets are real ones on loopback within one process, where what is sent has arrived at once.
+Sockets are real loopback sockets within one process, where data arrives as soon as it is sent.
 """
 
 import asyncio
 import selectors
 
-SETTLE_S = 0.001  # real time that the kernel may take to deliver what was sent
-LONGEST_REAL_WAIT_S = 10.0  # with no timer and no byte left the test hangs: it fails after this long
+DELIVERY_S = 0.001  # real time in which the kernel delivers data on loopback
+MAX_REAL_WAIT_S = 10.0  # limits the wait of a test that hangs without a timer or pending data
 
 
 class _VirtualSelector(selectors.DefaultSelector):
-    """Gives what is ready, else lets the loop's time pass."""
+    """Returns the ready sockets; advances the virtual time if there are none."""
 
     now = 0.0
 
@@ -20,32 +20,32 @@
         if ready or (timeout is not None and timeout <= 0):
             return ready
         if timeout is None:
-            return super().select(LONGEST_REAL_WAIT_S)
-        ready = super().select(SETTLE_S)
+            return super().select(MAX_REAL_WAIT_S)
+        ready = super().select(DELIVERY_S)
         if not ready:
             self.now += timeout
         return ready
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """A loop on which hours pass at once."""
+    """An event loop with virtual time."""
 
     def __init__(self):
         self._virtual = _VirtualSelector()
         super().__init__(self._virtual)
 
     def time(self):
-        """Seconds since the loop was made."""
+        """Return the virtual seconds since the loop was created."""
         return self._virtual.now
 
 
 def clock():
-    """Milliseconds of the running loop's time."""
+    """Return the time of the running loop in milliseconds."""
     return asyncio.get_running_loop().time() * 1000.0
 
 
 def run_virtual(coroutine, max_virtual_s=120.0):
-    """Run a test's coroutine on a loop of its own; `max_virtual_s` of the loop's time is its bound."""
+    """Run a coroutine on a new loop; it fails after `max_virtual_s` of virtual time."""
 
     async def bounded():
         async with asyncio.timeout(max_virtual_s):
