--- a/tests/system/test_consensus.py
+++ b/tests/system/test_consensus.py
@@ -1,4 +1,4 @@
-"""The consensus of a replica group: under loss, cuts, restarts, lost disks and planned work."""
+"""Consensus of a replica group under message loss, cut links, restarts, lost disks and planned changes."""
 
 from random import Random
 from zlib import crc32
@@ -15,8 +15,8 @@
     return {a: p.state_machine.commands for a, p in group.processes.items() if a not in group.down}
 
 
-def settled(group, wanted):
-    """All running processes have these commands, each once or more, in the same order."""
+def check_converged(group, wanted):
+    """Check that all running processes have the same commands in the same order, with the wanted ones."""
     group.heal()
     group.run(8000)
     histories = list(commands(group).values())
@@ -24,7 +24,7 @@
     assert [c for c in wanted if c not in histories[0]] == []
 
 
-def test_one_leader_is_elected_and_commands_reach_all():
+def test_one_leader_is_elected_and_commands_reach_all_replicas():
     group = VirtualGroup(1)
     group.run(3000)
     proposed = group.propose(b"a")
@@ -33,13 +33,14 @@
     assert all(history == [b"a"] for history in commands(group).values())
 
 
-def test_every_follower_learns_of_a_commit_in_a_few_round_trips_not_with_the_next_heartbeat():
-    """Also one whose own answer came after that of another follower, which made the majority."""
+def test_every_follower_learns_of_a_commit_within_a_few_round_trips_not_at_the_next_heartbeat():
+    """Includes the follower whose reply arrives after the majority was reached."""
     group = VirtualGroup(12)
     group.run(3000)
     for number in range(20):
         group.propose(b"%d" % number)
-        group.run(45)  # three messages of 5 ms at most, two writes of 5 ms, and the commit once more
+        # at most three messages of 5 ms, two writes of 5 ms, and another message for the commit
+        group.run(45)
         assert all(commands(group)[a][-1:] == [b"%d" % number] for a in group.processes), number
         group.run(37 * number % 150)
 
@@ -53,14 +54,14 @@
     group.run(300)
     assert all(p.index not in group.committed for p in proposed if isinstance(p, raft.Proposed))
     group.run(4000)
-    assert leader.replica.role is not raft.Role.LEADER, "a leader that nobody answers steps down"
+    assert leader.replica.role is not raft.Role.LEADER, "a leader without replies must step down"
     kept = group.propose(b"kept")
     group.run(300)
     assert group.is_acknowledged(kept)
-    settled(group, [b"kept"])
+    check_converged(group, [b"kept"])
 
 
-def test_a_lease_ends_before_another_can_lead():
+def test_a_lease_ends_before_another_leader_can_be_elected():
     group = VirtualGroup(3)
     group.run(3000)
     old = group.leader()
@@ -73,14 +74,14 @@
     assert group.leader() is not old
 
 
-def test_a_read_is_answered_with_all_that_was_acknowledged():
+def test_a_read_returns_every_acknowledged_write():
     group = VirtualGroup(3)
     group.run(3000)
     group.propose(b"a")
     group.run(200)
     leader = group.leader()
     leader.handle(raft.Read(1))
-    assert 1 not in leader.reads, "nobody has answered yet"
+    assert 1 not in leader.reads, "no follower has replied yet"
     group.run(50)
     assert leader.reads[1] == [b"a"]
     follower = next(p for p in group.processes.values() if p is not leader)
@@ -88,9 +89,9 @@
     assert follower.reads[1] is None
 
 
-def test_a_deposed_leader_answers_no_read_even_while_its_lease_seems_to_last():
-    """Voters that restart forget that they heard a leader, so a lease proves nothing about them."""
-    stale_reads = 0
+def test_a_deposed_leader_serves_no_read_even_if_its_lease_seems_valid():
+    """Restarted voters do not remember the contact with a leader, so the lease does not bind them."""
+    misleading_leases = 0
     for seed in range(40):
         group = VirtualGroup(seed)
         group.run(3000)
@@ -111,14 +112,16 @@
             if group.is_acknowledged(proposed):
                 break
         assert b"new" not in old.state_machine.commands
-        stale_reads += old.replica.has_lease(group.now)
+        misleading_leases += old.replica.has_lease(group.now)
         old.handle(raft.Read(number))
         group.run(5000)
-        assert old.reads.get(number) is None, "an older state was read after a newer was acknowledged"
-    assert stale_reads > 0, "no seed shows what the lease alone would have allowed"
+        assert old.reads.get(number) is None, (
+            "a read returned an old state after a newer write was acknowledged"
+        )
+    assert misleading_leases > 0, "no seed has a lease that would have allowed a stale read"
 
 
-def test_reads_that_wait_are_refused_when_the_lead_is_lost():
+def test_pending_reads_are_refused_when_leadership_is_lost():
     group = VirtualGroup(7)
     group.run(3000)
     leader = group.leader()
@@ -128,13 +131,13 @@
     assert leader.reads == {5: None}
 
 
-def test_after_a_loss_of_power_a_failed_pre_vote_is_soon_repeated():
+def test_after_a_power_failure_a_failed_pre_vote_is_repeated_soon():
     for seed in range(20):
         group = VirtualGroup(seed)
         group.run(3000)
         leader = group.leader()
-        behind = next(a for a in group.processes if a != leader.address)
-        group.isolate(behind)
+        outdated = next(a for a in group.processes if a != leader.address)
+        group.isolate(outdated)
         group.propose(b"kept")
         group.run(200)
         for address in group.processes:
@@ -143,27 +146,29 @@
         group.heal()
         group.restart(leader.address)
         group.run(500)
-        group.restart(behind)
+        group.restart(outdated)
         group.run(450)
-        assert group.leader() is not None, "only the first one up can lead, and its first pre-vote failed"
+        assert group.leader() is not None, (
+            "only the first replica to restart can lead, and its first pre-vote failed"
+        )
 
 
-def test_a_lone_replica_disturbs_no_leader_with_its_quick_pre_votes():
+def test_the_short_first_pre_votes_of_an_isolated_replica_disturb_no_leader():
     group = VirtualGroup(11)
     group.run(3000)
     leader = group.leader()
     term = leader.replica.hard_state.term
-    lone = next(a for a in group.processes if a != leader.address)
-    group.kill(lone)
-    group.isolate(lone)
-    group.restart(lone)
+    isolated = next(a for a in group.processes if a != leader.address)
+    group.kill(isolated)
+    group.isolate(isolated)
+    group.restart(isolated)
     group.run(3000)
     group.heal()
     group.run(3000)
     assert group.leader() is leader and leader.replica.hard_state.term == term
 
 
-def test_an_entry_counts_only_once_a_majority_has_synced_it():
+def test_an_entry_is_committed_only_once_a_majority_has_synced_it():
     group = VirtualGroup(4, sync_ms=5.0)
     group.run(3000)
     group.sync_ms = 10_000.0
@@ -172,7 +177,7 @@
     assert not group.is_acknowledged(proposed)
 
 
-def test_a_leader_with_a_hanging_disk_commits_through_the_others():
+def test_a_leader_with_a_hanging_disk_commits_through_the_other_voters():
     group = VirtualGroup(5)
     group.run(3000)
     leader = group.leader()
@@ -183,7 +188,7 @@
     assert group.is_acknowledged(proposed)
 
 
-def test_all_without_power_keep_what_was_acknowledged():
+def test_acknowledged_writes_survive_a_power_failure_of_all_replicas():
     group = VirtualGroup(6)
     group.run(3000)
     proposed = group.propose(b"kept")
@@ -194,10 +199,10 @@
     group.run(1000)
     for address in list(group.processes):
         group.restart(address)
-    settled(group, [b"kept"])
+    check_converged(group, [b"kept"])
 
 
-def test_a_lost_disk_with_all_others_without_power():
+def test_acknowledged_writes_survive_a_lost_disk_during_a_power_failure_of_all_replicas():
     for seed in range(20):
         group = VirtualGroup(seed)
         group.run(3000)
@@ -212,11 +217,11 @@
                 group.wipe(address)
             else:
                 group.restart(address)
-        settled(group, [b"kept"])
+        check_converged(group, [b"kept"])
         assert group.processes[lost].replica.is_voter()
 
 
-def test_a_replica_that_forgot_its_votes_does_not_vote_until_taken_in():
+def test_a_replica_with_an_empty_disk_does_not_vote_before_it_is_admitted():
     group = VirtualGroup(7)
     group.run(3000)
     follower = next(p for p in group.processes.values() if p is not group.leader())
@@ -229,21 +234,21 @@
     assert fresh.replica.is_voter() and len(fresh.replica.voters()) == 3
 
 
-def test_a_machine_is_replaced_by_an_empty_one_at_another_address():
+def test_a_replica_is_replaced_by_an_empty_one_at_another_address():
     group = VirtualGroup(8)
     group.run(3000)
     group.propose(b"before")
     group.run(200)
-    gone = group.leader().address
-    group.kill(gone)
+    lost = group.leader().address
+    group.kill(lost)
     new = group.wipe("10.0.0.8:1")
     group.run(12_000)
     assert new.replica.is_voter()
-    assert gone not in [m.rpc_address for m in new.replica.log.membership.members if m.voter]
-    settled(group, [b"before"])
+    assert lost not in [m.rpc_address for m in new.replica.log.membership.members if m.voter]
+    check_converged(group, [b"before"])
 
 
-def test_a_planned_stop_hands_the_lead_over():
+def test_a_leadership_transfer_elects_another_leader():
     group = VirtualGroup(9)
     group.run(3000)
     old = group.leader()
@@ -277,7 +282,7 @@
 
 @settings(max_examples=80, deadline=None, suppress_health_check=list(HealthCheck))
 @given(seed=st.integers(0, 10_000), steps=STEPS, loss=st.sampled_from([0.0, 0.05, 0.2]))
-def test_random_histories_keep_one_value_a_place_and_lose_nothing_acknowledged(seed, steps, loss):
+def test_random_histories_have_one_entry_for_each_index_and_lose_no_acknowledged_write(seed, steps, loss):
     group, choose = VirtualGroup(seed, loss=loss), Random(seed)
     group.run(2000)
     waiting, kept, wiped_at = [], [], float("-inf")
@@ -312,10 +317,10 @@
     group.loss = 0.0
     for down in sorted(group.down):
         group.restart(down)
-    settled(group, kept)
+    check_converged(group, kept)
 
 
-def test_a_leader_does_not_count_itself_before_its_own_disk_has_the_entry():
+def test_a_leader_does_not_count_itself_before_the_entry_is_on_its_disk():
     group = VirtualGroup(11)
     group.run(3000)
     leader = group.leader()
@@ -328,8 +333,8 @@
     assert proposed is not None and proposed.index not in group.committed
 
 
-def test_an_entry_of_an_earlier_term_is_committed_only_with_one_of_the_own_term():
-    """The case of figure 8 of the Raft paper: a majority that holds an old entry is not enough."""
+def test_an_entry_of_an_earlier_term_is_committed_only_with_one_of_the_current_term():
+    """Figure 8 of the Raft paper: an old entry on a majority of the replicas is not committed yet."""
     names = ["10.0.0.1:1#0", "10.0.0.2:1#0", "10.0.0.3:1#0"]
     members = [pb.Member(replica_id=name, rpc_address=name[:-2], voter=True) for name in names]
     first = raft.Snapshot(1, 1, pb.Membership(members=members), b"")
@@ -337,34 +342,34 @@
     leader = raft.Replica("test", names[0], Random(1), raft.HardState(3, ""), first, [old])
     written = []
 
-    def take(now, event):
+    def handle(now, event):
         written.extend(a.sequence for a in leader.handle(now, event) if isinstance(a, raft.Persist))
 
-    def answered(now, term, index):
+    def reply_to_append(now, term, index):
         reply = pb.ConsensusMessage(group="test", sender=names[1], receiver=names[0], term=term)
         reply.append_reply.success, reply.append_reply.match_index = True, index
-        take(now, raft.Received(reply))
+        handle(now, raft.Received(reply))
 
-    take(5_000.0, raft.Tick())
+    handle(5_000.0, raft.Tick())
     for pre_vote in (True, False):
         vote = pb.ConsensusMessage(group="test", sender=names[1], receiver=names[0], term=4)
         vote.vote_reply.pre_vote, vote.vote_reply.granted = pre_vote, True
-        take(5_001.0, raft.Received(vote))
-        take(5_002.0, raft.Persisted(max(written, default=0)))
-    take(5_003.0, raft.Persisted(max(written)))
+        handle(5_001.0, raft.Received(vote))
+        handle(5_002.0, raft.Persisted(max(written, default=0)))
+    handle(5_003.0, raft.Persisted(max(written)))
     assert leader.role is raft.Role.LEADER and leader.log.last_index == 3
     refused = leader.handle(5_003.5, raft.Read(1))
     assert [a.number for a in refused if isinstance(a, raft.ReadRefused)] == [1], (
-        "entries that earlier leaders have acknowledged may not be applied here yet"
+        "entries acknowledged by earlier leaders may not be applied here yet"
     )
-    answered(5_004.0, 4, 2)
-    assert leader.log.commit_index == 1, "two of three hold the old entry, and it may still be overwritten"
-    answered(5_005.0, 4, 3)
+    reply_to_append(5_004.0, 4, 2)
+    assert leader.log.commit_index == 1, "two of three hold the old entry, but it may still be overwritten"
+    reply_to_append(5_005.0, 4, 3)
     assert leader.log.commit_index == 3
 
 
-def snapshot_at_four(term):
-    """A follower with entries 2 to 6 of term 2 gets a snapshot of index 4 from a leader of this term."""
+def install_snapshot_at_four(term):
+    """Send a snapshot of index 4 and this term to a follower with entries 2 to 6 of term 2."""
     names = ["10.0.0.1:1#0", "10.0.0.2:1#0"]
     members = [pb.Member(replica_id=name, rpc_address=name[:-2], voter=True) for name in names]
     first = raft.Snapshot(1, 1, pb.Membership(members=members), b"")
@@ -378,9 +383,9 @@
     return follower, follower.handle(5.0, raft.Received(message))
 
 
-def test_a_snapshot_of_what_a_follower_holds_costs_it_none_of_its_later_entries():
-    """Its answer for those entries may be under way, and the leader counts them as soon as it arrives."""
-    follower, actions = snapshot_at_four(term=2)
+def test_a_snapshot_of_entries_that_a_follower_has_deletes_no_later_entries():
+    """The follower may have acknowledged the later entries, so the leader may count them as replicated."""
+    follower, actions = install_snapshot_at_four(term=2)
     assert follower.log.last_index == 6
     assert [a.entry.index for a in actions if isinstance(a, raft.Apply)] == [2, 3, 4]
     assert not [a for a in actions if isinstance(a, raft.Restore)]
@@ -389,8 +394,8 @@
     assert record.send_after_sync[0].message.append_reply.match_index == 4
 
 
-def test_a_snapshot_replaces_entries_of_another_history():
-    follower, actions = snapshot_at_four(term=3)
+def test_a_snapshot_replaces_conflicting_entries():
+    follower, actions = install_snapshot_at_four(term=3)
     assert (follower.log.last_index, follower.log.commit_index) == (4, 4)
     assert [a.snapshot.state for a in actions if isinstance(a, raft.Restore)] == [b"state"]
     (record,) = [a for a in actions if isinstance(a, raft.Persist)]
--- a/tests/system/test_exhaustive.py
+++ b/tests/system/test_exhaustive.py
@@ -1,8 +1,9 @@
-"""A bounded exhaustive search of the pure consensus: three replicas, few events, in every order.
+"""A bounded exhaustive search of the consensus state machine: three replicas and few events, in every order.
 
-Events: a replica campaigns, a command is proposed, a message arrives (or never does), a disk syncs, a replica
-loses its power and what it had not synced.  States that were seen are not searched again.  In each state: one
-leader a term at most, one value at each committed place, and every committed entry on a majority of disks.
+Events: a replica campaigns, a command is proposed, a message arrives or is lost, a disk syncs a record, or a
+replica loses power and with it the unsynced records.  States that were visited before are not searched
+again.  Checked in each state: at most one leader in a term, one value at each committed index, and every
+committed entry on a majority of the disks.
 """
 
 import copy
@@ -14,7 +15,7 @@
 from molespur.system.rpc import molespur_pb2 as pb
 
 NAMES = ("a#0", "b#0", "c#0")
-MOST_MESSAGES = 4  # on their way at once; older ones are lost
+MAX_MESSAGES = 4  # in flight at the same time; older ones are lost
 CAMPAIGN_MS = 2000.0
 FIRST = raft.Snapshot(
     1,
@@ -24,8 +25,8 @@
 )
 
 
-class NoChance:
-    """Stands for the generator: timers are events here."""
+class ConstantRandom:
+    """Replaces the random generator: timers are explicit events here."""
 
     def random(self):
         return 0.5
@@ -36,7 +37,7 @@
 
 @dataclass
 class Node:
-    """A replica, the records that its disk has not synced, and what the disk holds."""
+    """A replica, its unsynced records, and the content of its disk."""
 
     replica: raft.Replica
     unsynced: list = field(default_factory=list)
@@ -46,7 +47,7 @@
 
 @dataclass(frozen=True)
 class Bounds:
-    """How often each kind of event may still come."""
+    """How often each kind of event may still occur."""
 
     campaigns: int
     proposals: int
@@ -55,7 +56,7 @@
 
 @dataclass
 class World:
-    """All that there is: nodes, messages on their way, and what was ever led or committed."""
+    """The state of the search: nodes, messages in flight, and all leaders and committed entries so far."""
 
     nodes: list
     messages: tuple
@@ -65,7 +66,7 @@
     committed: dict = field(default_factory=dict)
 
     def key(self):
-        """Two worlds with the same key have the same future, but for times."""
+        """Return a key; worlds with the same key have the same future apart from times."""
         nodes = tuple(
             (
                 node.replica.role, node.replica.hard_state.term, node.replica.hard_state.vote,
@@ -79,7 +80,7 @@
         return nodes, tuple(sorted(content(message) for message in self.messages)), self.bounds
 
     def after(self, event, *arguments):
-        """The world after one event."""
+        """Return the world after one event."""
         world = copy.deepcopy(self)
         getattr(world, event)(*arguments)
         world.check()
@@ -97,9 +98,9 @@
         self.bounds = Bounds(self.bounds.campaigns, self.bounds.proposals - 1, self.bounds.crashes)
         self._handle(number, raft.Propose(b"%d" % self.bounds.proposals))
 
-    def arrive(self, place):
-        message = self.messages[place]
-        self.messages = self.messages[:place] + self.messages[place + 1 :]
+    def arrive(self, position):
+        message = self.messages[position]
+        self.messages = self.messages[:position] + self.messages[position + 1 :]
         self._handle(NAMES.index(message.receiver), raft.Received(message))
 
     def sync(self, number):
@@ -119,7 +120,7 @@
         entries = [node.entries[index] for index in sorted(node.entries)]
         node.unsynced = []
         node.replica = raft.Replica(
-            "g", NAMES[number], NoChance(), raft.HardState(*node.hard), FIRST, entries, self.now
+            "g", NAMES[number], ConstantRandom(), raft.HardState(*node.hard), FIRST, entries, self.now
         )
 
     def _handle(self, number, event):
@@ -132,16 +133,16 @@
                     self.nodes[number].unsynced.append(copy.deepcopy(action))
                 case raft.Apply(entry):
                     known = self.committed.setdefault(entry.index, (entry.term, entry.data))
-                    assert known == (entry.term, entry.data), f"two values at {entry.index}"
+                    assert known == (entry.term, entry.data), f"two values at index {entry.index}"
 
     def _send(self, message):
-        self.messages = (*self.messages, message)[-MOST_MESSAGES:]
+        self.messages = (*self.messages, message)[-MAX_MESSAGES:]
 
-    # -- What can come next, and what must hold -----------------------------------------------------
+    # -- Possible events and invariants -------------------------------------------------------------
 
     def events(self):
-        for place in range(len(self.messages)):
-            yield "arrive", place
+        for position in range(len(self.messages)):
+            yield "arrive", position
         for number, node in enumerate(self.nodes):
             if node.unsynced:
                 yield "sync", number
@@ -163,43 +164,44 @@
 
 
 def content(message):
-    """A message but for its times."""
-    short = pb.ConsensusMessage()
-    short.CopyFrom(message)
+    """Return a message without its times."""
+    copied = pb.ConsensusMessage()
+    copied.CopyFrom(message)
     for body in ("append_request", "append_reply"):
-        if short.HasField(body):
-            getattr(short, body).sent_at_ms = 0
-    return short.SerializeToString(deterministic=True)
-
-
-def search(world, most):
-    """Breadth first from a world, every order of events, until so many states were seen; how many were."""
-    seen, waiting = {world.key()}, [world]
-    while waiting and len(seen) < most:
-        following = []
-        for one in waiting:
-            for event in one.events():
-                after = one.after(*event)
+        if copied.HasField(body):
+            getattr(copied, body).sent_at_ms = 0
+    return copied.SerializeToString(deterministic=True)
+
+
+def search(world, max_states):
+    """Search breadth-first through every order of events; return the number of states seen."""
+    seen, level = {world.key()}, [world]
+    while level and len(seen) < max_states:
+        next_level = []
+        for current in level:
+            for event in current.events():
+                after = current.after(*event)
                 key = after.key()
                 if key not in seen:
                     seen.add(key)
-                    following.append(after)
-            if len(seen) >= most:
+                    next_level.append(after)
+            if len(seen) >= max_states:
                 break
-        waiting = following
+        level = next_level
     return len(seen)
 
 
-def fresh(campaigns, proposals, crashes):
+def initial_world(campaigns, proposals, crashes):
     nodes = [
-        Node(raft.Replica("g", name, NoChance(), raft.HardState(1, ""), FIRST, [], 0.0)) for name in NAMES
+        Node(raft.Replica("g", name, ConstantRandom(), raft.HardState(1, ""), FIRST, [], 0.0))
+        for name in NAMES
     ]
     return World(nodes, (), Bounds(campaigns, proposals, crashes))
 
 
-def led(proposals, campaigns, crashes):
-    """A world in which the first replica leads and its first entry is committed."""
-    world = fresh(1, proposals, crashes)
+def world_with_leader(proposals, campaigns, crashes):
+    """Return a world in which the first replica leads and its first entry is committed."""
+    world = initial_world(1, proposals, crashes)
     world = world.after("campaign", 0)
     for _ in range(60):
         unsynced = [number for number, node in enumerate(world.nodes) if node.unsynced]
@@ -213,27 +215,27 @@
 
 
 @pytest.mark.parametrize(
-    ("world", "most"),
+    ("make_world", "max_states"),
     [
-        (lambda: fresh(campaigns=2, proposals=0, crashes=1), 2500),
-        (lambda: led(proposals=1, campaigns=1, crashes=1), 2500),
-        (lambda: led(proposals=2, campaigns=1, crashes=0), 2500),
+        (lambda: initial_world(campaigns=2, proposals=0, crashes=1), 2500),
+        (lambda: world_with_leader(proposals=1, campaigns=1, crashes=1), 2500),
+        (lambda: world_with_leader(proposals=2, campaigns=1, crashes=0), 2500),
     ],
     ids=["elections", "a change and a crash", "two changes and another leader"],
 )
-def test_every_order_of_a_few_events_keeps_what_was_committed(world, most):
-    assert search(world(), most) >= most // 2
+def test_every_order_of_a_few_events_keeps_committed_entries(make_world, max_states):
+    assert search(make_world(), max_states) >= max_states // 2
 
 
-def test_the_search_finds_a_vote_that_is_given_twice(monkeypatch):
-    monkeypatch.setattr(raft.Replica, "_handle_vote_request", _careless_vote)
+def test_the_search_finds_a_replica_that_votes_twice(monkeypatch):
+    monkeypatch.setattr(raft.Replica, "_handle_vote_request", _grant_every_vote)
     with pytest.raises(AssertionError, match="two leaders"):
-        world = fresh(campaigns=2, proposals=0, crashes=0)
+        world = initial_world(campaigns=2, proposals=0, crashes=0)
         search(world.after("campaign", 0).after("campaign", 1), 20_000)
 
 
-def _careless_vote(self, message):
-    """Votes for everybody, in any term."""
+def _grant_every_vote(self, message):
+    """Grants every vote request, in any term."""
     if message.term > self.hard_state.term and not message.vote_request.pre_vote:
         self._adopt_term(message.term)
     reply = self._new_message(message.sender, message.term)
