--- a/tests/system/test_many_changes.py
+++ b/tests/system/test_many_changes.py
@@ -1,6 +1,6 @@
-"""Hundreds of changes: members that were away catch up in bounded time and bytes, snapshots go in pieces.
+"""Members that miss hundreds of changes catch up in bounded time and bytes; snapshots are sent in chunks.
 
-Times are milliseconds of virtual time.
+Times are in milliseconds of virtual time.
 """
 
 import asyncio
@@ -34,27 +34,27 @@
     group.run(100)
 
 
-@pytest.mark.parametrize("away", ["cut off", "without power", "wiped"])
-def test_a_member_that_was_away_for_2000_changes_catches_up(away):
+@pytest.mark.parametrize("fault", ["cut off", "without power", "wiped"])
+def test_a_member_that_missed_2000_changes_catches_up(fault):
     group = VirtualGroup(21)
     group.run(3000)
     address = follower_of(group)
-    if away == "cut off":
+    if fault == "cut off":
         group.isolate(address)
     else:
         group.kill(address)
     propose_many(group, CHANGES)
     group.heal()
     group.sent_bytes = 0
-    if away == "without power":
+    if fault == "without power":
         group.restart(address)
-    elif away == "wiped":
+    elif fault == "wiped":
         group.wipe(address)
     began = group.now
     process = group.processes[address]
     commands = group.leader().state_machine.commands
     while process.state_machine.commands != commands:
-        assert process.replica.role is not raft.Role.LEADER, "it leads before it has all"
+        assert process.replica.role is not raft.Role.LEADER, "it became leader before it caught up"
         group.run(10)
         assert group.now - began < CATCH_UP_MS, len(process.state_machine.commands)
     state = len(group.leader().state_machine.snapshot())
@@ -62,8 +62,8 @@
 
 
 @pytest.mark.parametrize("behind", range(0, 24))
-def test_a_member_catches_up_from_any_place_round_a_compaction(behind):
-    """The virtual group compacts each eight entries: the log, or a snapshot, or both are needed."""
+def test_a_member_catches_up_from_any_index_around_a_compaction(behind):
+    """The virtual group compacts every eight entries, so the log, a snapshot, or both are needed."""
     group = VirtualGroup(22)
     group.run(3000)
     address = follower_of(group)
@@ -75,8 +75,8 @@
     assert group.processes[address].state_machine.commands == group.leader().state_machine.commands
 
 
-def test_a_conflict_of_many_entries_is_found_in_a_step_for_each_term():
-    """A deposed leader with 200 entries that nobody else has: not one entry a round trip back."""
+def test_conflicting_entries_are_skipped_in_one_step_for_each_term():
+    """A deposed leader has 200 conflicting entries; the new leader must not need a round trip for each."""
     group = VirtualGroup(23)
     group.compact_after = 10_000
     group.run(3000)
@@ -87,17 +87,17 @@
         old.handle(raft.Propose(b"lost%d" % number))
     group.run(4000)
     propose_many(group, 60, b"kept")
-    group.leader().handle(raft.TransferLeadership())  # the next leader begins behind the entries just kept
+    group.leader().handle(raft.TransferLeadership())  # the next leader starts after these entries
     group.run(500)
     rejections = []
     arrive = group._arrive
 
-    def counted(sender, receiver, message):
+    def arrive_and_count(sender, receiver, message):
         if sender == old.address and message.HasField("append_reply") and not message.append_reply.success:
             rejections.append(message.append_reply.match_index)
         arrive(sender, receiver, message)
 
-    group._arrive = counted
+    group._arrive = arrive_and_count
     group.heal()
     group.run(CATCH_UP_MS)
     assert old.state_machine.commands == group.leader().state_machine.commands
@@ -105,8 +105,8 @@
     assert 1 <= len(rejections) <= 6, rejections
 
 
-def test_entries_are_taken_only_after_the_same_entry_as_the_leaders():
-    """As many entries as the leader has, of another term: the place alone proves nothing."""
+def test_entries_are_appended_only_after_the_same_entry_as_in_the_leaders_log():
+    """The follower has as many entries as the leader but of another term: an equal index is not enough."""
     group = VirtualGroup(27)
     group.compact_after = 10_000
     group.run(3000)
@@ -124,12 +124,12 @@
         assert process.state_machine.commands == [b"kept%d" % number for number in range(8)]
 
 
-def large_state(group, pieces):
-    """Have the leader keep a state of this many pieces, compacted, that one follower lacks."""
+def make_large_snapshot(group, chunks):
+    """Make the leader have a snapshot of this many chunks that one follower lacks; return its address."""
     group.run(3000)
     address = follower_of(group)
     group.isolate(address)
-    for number in range(pieces):
+    for number in range(chunks):
         group.propose(b"%d" % number * (CHUNK_BYTES // len(b"%d" % number)))
         group.run(120)
     for number in range(10):
@@ -140,25 +140,25 @@
     return address
 
 
-def pieces_of(message):
+def chunk_of(message):
     return message.install_snapshot if message.HasField("install_snapshot") else None
 
 
-def test_a_snapshot_goes_in_pieces_and_goes_on_after_a_loss():
+def test_a_snapshot_is_sent_in_chunks_and_resumes_after_a_loss():
     group = VirtualGroup(24)
-    address = large_state(group, 6)
+    address = make_large_snapshot(group, 6)
     offsets, arrive = [], group._arrive
 
-    def lossy(sender, receiver, message):
-        piece = pieces_of(message)
-        if piece is not None:
-            offsets.append(piece.offset)
-            assert len(piece.state) <= CHUNK_BYTES
+    def arrive_with_losses(sender, receiver, message):
+        chunk = chunk_of(message)
+        if chunk is not None:
+            offsets.append(chunk.offset)
+            assert len(chunk.state) <= CHUNK_BYTES
             if len(offsets) in (2, 5):
-                return  # lost on its way
+                return  # the message is lost
         arrive(sender, receiver, message)
 
-    group._arrive = lossy
+    group._arrive = arrive_with_losses
     group.heal()
     group.run(5000)
     assert group.processes[address].state_machine.commands == group.leader().state_machine.commands
@@ -166,39 +166,41 @@
     assert len(set(offsets)) >= 6 and repeated <= 2, offsets
 
 
-def test_a_snapshot_goes_on_under_another_leader():
-    """The leader is lost in the middle of a transfer; its successor has the same snapshot and goes on."""
+def test_a_snapshot_transfer_resumes_under_another_leader():
+    """The leader fails during a transfer; the next leader has the same snapshot and resumes the transfer."""
     group = VirtualGroup(25)
-    address = large_state(group, 6)
+    address = make_large_snapshot(group, 6)
     first_leader = group.leader()
     offsets, arrive = [], group._arrive
 
-    def watched(sender, receiver, message):
-        piece = pieces_of(message)
-        if piece is not None:
-            offsets.append((sender, piece.index, piece.offset))
+    def arrive_and_record(sender, receiver, message):
+        chunk = chunk_of(message)
+        if chunk is not None:
+            offsets.append((sender, chunk.index, chunk.offset))
             if len(offsets) == 4:
                 group.kill(first_leader.address)
                 return
         arrive(sender, receiver, message)
 
-    group._arrive = watched
+    group._arrive = arrive_and_record
     group.heal()
     group.run(6000)
     assert group.leader().address != first_leader.address
     assert group.processes[address].state_machine.commands == group.leader().state_machine.commands
     second = [(index, offset) for sender, index, offset in offsets if sender != first_leader.address]
-    assert second and second[0][0] == offsets[0][1], "the same snapshot"
-    assert sorted({offset for _, offset in second})[1] >= 3 * CHUNK_BYTES, "only its first piece is sent anew"
+    assert second and second[0][0] == offsets[0][1], "another snapshot is sent"
+    assert sorted({offset for _, offset in second})[1] >= 3 * CHUNK_BYTES, (
+        "more than the first chunk is sent again"
+    )
 
 
-def test_the_leader_is_heard_while_a_snapshot_is_on_its_way():
-    """Pieces over slow links take long: the follower must not take the leader for lost meanwhile."""
+def test_a_follower_keeps_leader_contact_during_a_snapshot_transfer():
+    """Chunks take long over slow links; the follower must not consider the leader lost meanwhile."""
     group = VirtualGroup(26)
-    address = large_state(group, 4)
+    address = make_large_snapshot(group, 4)
     leader, arrive = group.leader(), group._arrive
     group._arrive = lambda sender, receiver, message: (
-        None if pieces_of(message) is not None else arrive(sender, receiver, message)
+        None if chunk_of(message) is not None else arrive(sender, receiver, message)
     )
     group.heal()
     group.run(6000)
@@ -207,38 +209,38 @@
     assert group.leader() is leader
 
 
-def test_pieces_that_are_damaged_double_or_of_another_snapshot():
+def test_damaged_and_duplicate_chunks_and_chunks_of_another_snapshot():
     snapshot = raft.Snapshot(9, 2, pb.Membership(), bytes(range(256)) * (3 * CHUNK_BYTES // 256))
-    sending, receiving = SnapshotSender.create(snapshot), SnapshotReceiver()
+    sender, receiver = SnapshotSender.create(snapshot), SnapshotReceiver()
 
-    def piece(offset):
+    def chunk(offset):
         message = pb.InstallSnapshot()
-        sending.offset = offset
-        sending.fill_chunk(message)
+        sender.offset = offset
+        sender.fill_chunk(message)
         return message
 
-    assert receiving.receive_chunk(piece(0)) is None and receiving.received_bytes == CHUNK_BYTES
-    assert receiving.receive_chunk(piece(0)) is None and receiving.received_bytes == CHUNK_BYTES
-    assert receiving.receive_chunk(piece(2 * CHUNK_BYTES)) is None and receiving.received_bytes == CHUNK_BYTES
-    damaged = piece(CHUNK_BYTES)
+    assert receiver.receive_chunk(chunk(0)) is None and receiver.received_bytes == CHUNK_BYTES
+    assert receiver.receive_chunk(chunk(0)) is None and receiver.received_bytes == CHUNK_BYTES
+    assert receiver.receive_chunk(chunk(2 * CHUNK_BYTES)) is None and receiver.received_bytes == CHUNK_BYTES
+    damaged = chunk(CHUNK_BYTES)
     damaged.state = bytes(CHUNK_BYTES)
-    receiving.receive_chunk(damaged)
-    assert receiving.receive_chunk(piece(2 * CHUNK_BYTES)) is None and receiving.received_bytes == 0, (
-        "from the start again"
+    receiver.receive_chunk(damaged)
+    assert receiver.receive_chunk(chunk(2 * CHUNK_BYTES)) is None and receiver.received_bytes == 0, (
+        "a wrong checksum must restart the transfer"
     )
     for offset in (0, CHUNK_BYTES):
-        receiving.receive_chunk(piece(offset))
-    other = piece(0)
+        receiver.receive_chunk(chunk(offset))
+    other = chunk(0)
     other.index = 10
-    assert receiving.receive_chunk(other) is None and receiving.received_bytes == CHUNK_BYTES
+    assert receiver.receive_chunk(other) is None and receiver.received_bytes == CHUNK_BYTES
     for offset in (0, CHUNK_BYTES):
-        receiving.receive_chunk(piece(offset))
-    whole = receiving.receive_chunk(piece(2 * CHUNK_BYTES))
-    assert whole.state == snapshot.state and crc32(whole.state) == sending.checksum
+        receiver.receive_chunk(chunk(offset))
+    complete = receiver.receive_chunk(chunk(2 * CHUNK_BYTES))
+    assert complete.state == snapshot.state and crc32(complete.state) == sender.checksum
 
 
 def test_a_hundred_thousand_changes_are_remembered_at_a_bounded_cost():
-    """Each repeat is known; state, snapshot and its time stay small."""
+    """Repeated changes are recognized; the state and the snapshot, and the time for them, stay small."""
     machine = ConfigurationStateMachine()
     body = b"x" * 2000
     for version in range(1, 100_001):
@@ -259,26 +261,26 @@
         assert copy.apply(command.SerializeToString()) == (PutOutcome.ACCEPTED, None)
 
 
-def test_a_process_that_missed_hundreds_of_changes_serves_the_newest_only(monkeypatch):
-    """300 changes while one is away; the leader is lost as it comes back, and snapshots are late."""
+def test_a_process_that_missed_hundreds_of_changes_serves_only_the_newest(monkeypatch):
+    """One process misses 300 changes; when it restarts, the leader fails and snapshots are delayed."""
 
     async def history(fleet):
         await asyncio.sleep(3.0)
         leader = fleet.leader()
-        away = next(address for address in fleet.processes if address != leader)
-        fleet.kill(away)
+        absent = next(address for address in fleet.processes if address != leader)
+        fleet.kill(absent)
         for version in range(1, 301):
             while await fleet.put(version, version - 1, "m") is None:
                 pass
         fleet.late_from = set(fleet.processes)
-        fleet.restart(away)
+        fleet.restart(absent)
         await asyncio.sleep(0.2)
         fleet.kill(leader)
         began = fleet.loop.time()
         while await fleet.put(301, 300, "m") is None:
             assert fleet.loop.time() - began < 12.0
         await asyncio.sleep(0.5)
-        host = fleet.processes[away].plane.host
+        host = fleet.processes[absent].plane.host
         assert host.groups[CONFIGURATION].state_machine.version == 301
         answer = await fleet.ask("GET", "/api/config", tries=40)
         fleet.checker.check(answer[1])
--- a/tests/system/test_membership_changes.py
+++ b/tests/system/test_membership_changes.py
@@ -1,4 +1,4 @@
-"""The leader's plan for its group: who gets a vote, who gives one up, and who may leave."""
+"""The leader's membership plan: which learners become voters, which voters are demoted, and who may leave."""
 
 import pytest
 from virtual_group import VirtualGroup
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def leader():
-    """A leader of three voters with a learner that has just been heard."""
+    """A leader with three voters and a learner that has just replied."""
     group = VirtualGroup(41)
     group.run(3000)
     replica = group.leader().replica
@@ -33,12 +33,12 @@
     return [name for name in replica.voters() if name != replica.id]
 
 
-def test_with_nobody_leaving_or_lost_nothing_changes(leader):
+def test_without_leaving_or_lost_voters_nothing_changes(leader):
     group, replica, planner = leader
     assert planner.plan(replica, group.now) is None
 
 
-def test_a_leaving_voter_is_replaced_before_it_gives_its_vote_up(leader):
+def test_a_leaving_voter_is_replaced_before_it_is_demoted(leader):
     group, replica, planner = leader
     leaving = followers(replica)[0]
     planner.record_leaving(leaving, group.now)
@@ -50,11 +50,11 @@
     assert voters_of(smaller) == voters_of(larger) - {leaving}
     replica.log.memberships.append((replica.log.commit_index, smaller))
     assert planner.may_leave(replica, leaving, group.now)
-    assert planner.plan(replica, group.now) is None, "the one that left is no learner to promote"
+    assert planner.plan(replica, group.now) is None, "a replica that is leaving must not be promoted"
 
 
-def test_a_voter_stays_until_the_vote_too_many_is_taken_from_it(leader):
-    """The learner that stood by has its vote already, so none stands by any more."""
+def test_a_leaving_voter_stays_until_it_is_demoted(leader):
+    """The standby learner has become a voter already, so there is no standby learner any more."""
     group, replica, planner = leader
     leaving = followers(replica)[0]
     planner.record_leaving(leaving, group.now)
@@ -77,22 +77,24 @@
     assert planner.plan(replica, group.now) is None
 
 
-def test_a_silent_voter_makes_room_only_while_the_leader_is_in_touch(leader):
+def test_a_lost_voter_is_removed_only_while_the_leader_has_contact_with_a_majority(leader):
     group, replica, planner = leader
     lost = followers(replica)[0]
     replica.progress[lost].last_reply_at_ms = group.now - VOTER_LOST_AFTER_MS - 1.0
     assert voters_of(planner.plan(replica, group.now)) == set(replica.voters()) - {lost}
     for name in followers(replica):
         replica.progress[name].last_reply_at_ms = group.now - VOTER_LOST_AFTER_MS - 1.0
-    assert planner.plan(replica, group.now) is None, "with all silent the fault may be here"
+    assert planner.plan(replica, group.now) is None, (
+        "without any replies the fault may be on the leader's side"
+    )
     replica.progress[followers(replica)[1]].last_reply_at_ms = group.now
     for name in followers(replica):
         replica.progress[name].acked_sent_at_ms = group.now - 5000.0
     replica.leader_since_ms = group.now - 5000.0
-    assert planner.plan(replica, group.now) is None, "no majority answers"
+    assert planner.plan(replica, group.now) is None, "no majority replies"
 
 
-def test_a_voter_too_many_that_nobody_accounts_for_becomes_a_learner(leader):
+def test_a_surplus_voter_is_demoted_even_if_none_is_leaving(leader):
     group, replica, planner = leader
     planner.record_leaving(followers(replica)[0], group.now)
     larger = planner.plan(replica, group.now)
@@ -102,14 +104,14 @@
     assert len(voters_of(smaller)) == 3 and replica.id in voters_of(smaller)
 
 
-def test_one_that_stops_saying_that_it_leaves_stays(leader):
+def test_a_replica_that_stops_sending_leave_notices_stays(leader):
     group, replica, planner = leader
     planner.record_leaving(followers(replica)[0], group.now)
     replica.progress[LEARNER].last_reply_at_ms = group.now + 2000.0
     assert planner.plan(replica, group.now + 2000.0) is None
 
 
-def test_no_change_is_proposed_before_the_last_one_is_committed(leader):
+def test_no_change_is_proposed_before_the_previous_one_is_committed(leader):
     group, replica, planner = leader
     joining = pb.Member(replica_id="10.0.0.8:1#8", rpc_address="10.0.0.8:1")
     group.leader().handle(raft.ChangeMembership(planner.admit(replica, joining)))
@@ -122,16 +124,16 @@
     assert replica.log.last_index == last
 
 
-def test_who_leaves_with_nobody_to_take_its_vote_stays_while_it_holds_one_of_two_copies(leader):
+def test_without_a_standby_learner_a_leaving_voter_stays_while_it_has_one_of_two_copies(leader):
     group, replica, planner = leader
     leaving, other = followers(replica)
-    replica.progress[LEARNER].last_reply_at_ms = group.now - 5000.0  # nobody stands by
+    replica.progress[LEARNER].last_reply_at_ms = group.now - 5000.0  # no standby learner
     assert planner.may_leave(replica, leaving, group.now)
     replica.progress[other].match_index = replica.log.commit_index - 1
     assert not planner.may_leave(replica, leaving, group.now)
 
 
-def test_an_empty_disk_takes_the_vote_from_the_one_that_was_at_its_address(leader):
+def test_a_replica_with_an_empty_disk_replaces_the_previous_one_at_its_address(leader):
     _group, replica, planner = leader
     wiped = replica.member(followers(replica)[0])
     joining = pb.Member(replica_id="fresh", rpc_address=wiped.rpc_address)
--- a/tests/system/test_snapshots_across_leaders.py
+++ b/tests/system/test_snapshots_across_leaders.py
@@ -1,10 +1,10 @@
-"""A snapshot goes on where it stopped whoever leads: all replicas compact at the same indexes.
+"""A snapshot transfer resumes under any leader, because all replicas compact at the same indexes.
 
-The failure behind these tests: a replica compacted when its process looked, each 50 ms, and only the leader
-counted the bytes of its log. Two replicas had snapshots of different indexes, so a follower that had received
-half of one began again from nothing under the next leader.
+These tests guard against this failure: a replica compacted at the 50 ms tick of its process, and only the
+leader counted the bytes of its log.  Replicas had snapshots of different indexes, so a follower that had
+received half of a snapshot started from the beginning under the next leader.
 
-Times are milliseconds of virtual time.
+Times are in milliseconds of virtual time.
 """
 
 import asyncio
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_replicas_compact_at_the_same_indexes(monkeypatch, seed):
-    """Changes in bursts, leaders that are lost, and a member that was away: one snapshot at all."""
+    """After bursts of changes, lost leaders and an absent member, all replicas have the same snapshot."""
     random = Random(seed)
 
     async def history(fleet):
@@ -56,69 +56,71 @@
 
 
 @pytest.mark.parametrize("megabytes", [1, 16])
-def test_a_member_is_caught_up_through_three_changes_of_leader(megabytes):
-    """Each leader loses the lead in the middle of the transfer; only the piece that was lost is sent anew."""
+def test_a_member_catches_up_through_three_leader_changes(megabytes):
+    """Each leader loses leadership during the transfer; only the lost chunk is sent again."""
     group = VirtualGroup(50 + megabytes)
     group.run(3000)
-    away = next(address for address in group.processes if address != group.leader().address)
-    group.isolate(away)
+    absent = next(address for address in group.processes if address != group.leader().address)
+    group.isolate(absent)
     state_bytes = megabytes << 20
     for number in range(8):
         group.propose(b"%d" % number * (state_bytes // 8))
         group.run(400)
     group.run(1000)
     senders, arrive = [], group._arrive
-    most_of_a_leader = state_bytes // CHUNK_BYTES // (LEADER_CHANGES + 1)
+    max_chunks = state_bytes // CHUNK_BYTES // (LEADER_CHANGES + 1)
     changes = 0
 
-    def watched(sender, receiver, message):
+    def arrive_and_record(sender, receiver, message):
         nonlocal changes
         if message.HasField("install_snapshot"):
             senders.append(sender)
-            if changes < LEADER_CHANGES and senders.count(sender) > most_of_a_leader * (1 + changes // 2):
+            if changes < LEADER_CHANGES and senders.count(sender) > max_chunks * (1 + changes // 2):
                 changes += 1
                 group.schedule(0.0, group.processes[sender].handle, raft.TransferLeadership())
-                return  # the last piece of this leader is lost with its lead
+                return  # the last chunk of this leader is lost
         arrive(sender, receiver, message)
 
-    group._arrive = watched
+    group._arrive = arrive_and_record
     group.heal()
     group.run(12_000)
-    assert group.processes[away].state_machine.commands == group.leader().state_machine.commands
-    leaders = sum(one != other for one, other in pairwise(senders))
-    assert leaders >= LEADER_CHANGES
+    assert group.processes[absent].state_machine.commands == group.leader().state_machine.commands
+    leader_changes = sum(one != other for one, other in pairwise(senders))
+    assert leader_changes >= LEADER_CHANGES
     state = len(group.leader().state_machine.snapshot())
-    least = -(-state // CHUNK_BYTES)
-    assert len(senders) <= least + LEADER_CHANGES, (len(senders), least, leaders)
+    min_chunks = -(-state // CHUNK_BYTES)
+    assert len(senders) <= min_chunks + LEADER_CHANGES, (len(senders), min_chunks, leader_changes)
 
 
-def points(schedule, first, entries):
-    """Indexes at which a schedule compacts a log of (entry bytes, state bytes), from an index on."""
+def compaction_points(schedule, first, entries):
+    """Return the compaction points from `first` on of a log of (entry bytes, state bytes)."""
     return [
         i for i, sizes in enumerate(entries, start=1) if i >= first and schedule.record_applied(i, *sizes)
     ]
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_points_of_compaction_follow_from_the_log_alone(seed):
-    """A replica that begins at any point of another one has all its later points, and no others."""
+def test_compaction_points_depend_on_the_log_alone(seed):
+    """A replica that starts at any compaction point of another one has exactly its later points."""
     random = Random(seed)
     entries = [
         (random.choice((200, 40_000, 900_000)), random.choice((0, 5_000, 300_000))) for _ in range(2000)
     ]
-    whole = points(CompactionSchedule(), 1, entries)
-    assert len(whole) > 10
-    for index in whole:
-        assert points(CompactionSchedule(), index + 1, entries) == [i for i in whole if i > index]
+    all_points = compaction_points(CompactionSchedule(), 1, entries)
+    assert len(all_points) > 10
+    for index in all_points:
+        assert compaction_points(CompactionSchedule(), index + 1, entries) == [
+            i for i in all_points if i > index
+        ]
 
 
 def test_replicas_with_snapshots_of_other_indexes_agree_from_a_multiple_of_the_stride_on():
-    """Such disks come from releases that compacted when the process looked."""
+    """Disks written by earlier releases, which compacted at the ticks of the process, have such snapshots."""
     entries = [(500, 20_000)] * 600
-    one, other = (points(CompactionSchedule(), first, entries) for first in (37, 90))
+    one, other = (compaction_points(CompactionSchedule(), first, entries) for first in (37, 90))
     assert one[-4:] == other[-4:] and one[-1] - one[-2] == MIN_ENTRIES
 
 
 def test_a_large_state_is_compacted_after_more_entries_and_bytes():
-    assert points(CompactionSchedule(), 1, [(10, 1 << 20)] * 3000) == [1024, 2048]
-    assert points(CompactionSchedule(), 1, [(400_000, 1 << 20)] * 8) == [6]
+    assert compaction_points(CompactionSchedule(), 1, [(10, 1 << 20)] * 3000) == [1024, 2048]
+    assert compaction_points(CompactionSchedule(), 1, [(400_000, 1 << 20)] * 8) == [6]
