--- a/tests/system/test_configuration.py
+++ b/tests/system/test_configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration: which changes are taken, what can be used."""
+"""The operator configuration: which changes are accepted, and which configurations are valid."""
 
 import pytest
 
@@ -16,7 +16,7 @@
     ).SerializeToString()
 
 
-def test_of_two_changes_on_one_version_one_wins():
+def test_of_two_changes_with_the_same_base_version_one_is_accepted():
     machine = ConfigurationStateMachine()
     assert machine.apply(change(1, 0))[0] is PutOutcome.ACCEPTED
     assert machine.apply(change(5, 1, b"a"))[0] is PutOutcome.ACCEPTED
@@ -25,7 +25,7 @@
     assert (machine.version, machine.body) == (5, b"a")
 
 
-def test_a_change_that_was_taken_is_never_refused():
+def test_an_accepted_change_is_never_refused():
     machine = ConfigurationStateMachine()
     for version, base in ((1, 0), (3, 1), (4, 3)):
         machine.apply(change(version, base))
@@ -77,14 +77,14 @@
         ),
     ],
 )
-def test_a_configuration_that_cannot_be_used_is_refused_in_one_line(body, kind, field):
-    with pytest.raises(FleetError) as problem:
+def test_an_invalid_configuration_is_refused_with_a_one_line_message(body, kind, field):
+    with pytest.raises(FleetError) as raised:
         configuration.parse(body.encode())
-    assert problem.value.kind is kind and field in problem.value.detail and "\n" not in problem.value.detail
+    assert raised.value.kind is kind and field in raised.value.detail and "\n" not in raised.value.detail
     assert 400 <= ANSWERS[kind].status < 500
 
 
-def test_unknown_keys_are_passed_over():
+def test_unknown_keys_are_ignored():
     known = configuration.parse(
         b'{"Version":2,"New":1,"Services":[{"Name":"s","Tls":false,"Engine":{"stride":9}}]}'
     )
--- a/tests/system/test_state_age_of_replicas.py
+++ b/tests/system/test_state_age_of_replicas.py
@@ -1,4 +1,4 @@
-"""The age of a replica's state: what a leader claims, in the follower's own time, and when a claim holds."""
+"""The state age of replicas: claims of a leader in the follower's own time, and when they take effect."""
 
 from virtual_group import GROUP, VirtualGroup
 
@@ -6,18 +6,18 @@
 from molespur.system.consensus.state_age import MAX_PENDING_CLAIMS, StateAgeTracker
 from molespur.system.rpc import molespur_pb2 as pb
 
-CALM_MS = 450.0
+MAX_CALM_AGE_MS = 450.0  # without any fault
 
 
-def settled(seed=5):
+def settled_group(seed=5):
     group = VirtualGroup(seed)
     group.run(3000)
     return group
 
 
-def led_anew():
-    """A group whose leader has just been elected, after a loss, and whose disks are slow."""
-    group = settled()
+def group_with_new_leader():
+    """Return a group with slow disks that has just elected a leader after the loss of the previous one."""
+    group = settled_group()
     first = group.leader()
     group.kill(first.address)
     group.sync_ms = 400.0
@@ -35,14 +35,14 @@
     return process.replica.state_age_ms(group.now)
 
 
-def test_an_undisturbed_group_stays_young():
-    group = settled()
+def test_state_ages_stay_low_without_faults():
+    group = settled_group()
     for _ in range(50):
         group.run(40)
-        assert all(0.0 <= age(group, process) <= CALM_MS for process in group.processes.values())
+        assert all(0.0 <= age(group, process) <= MAX_CALM_AGE_MS for process in group.processes.values())
 
 
-def test_a_claim_holds_once_its_index_is_applied():
+def test_a_claim_takes_effect_once_its_index_is_applied():
     state = StateAgeTracker()
     state.add_claim(5, 100.0)
     state.add_claim(9, 200.0)
@@ -53,10 +53,10 @@
     state.advance_applied(9)
     assert state.confirmed_at_ms == 200.0
     state.confirm(150.0)
-    assert state.confirmed_at_ms == 200.0, "it never falls"
+    assert state.confirmed_at_ms == 200.0, "the confirmed time must not decrease"
 
 
-def test_a_replica_that_is_far_behind_keeps_few_claims_and_gets_young_by_the_first_of_them():
+def test_a_replica_far_behind_keeps_only_the_first_claims():
     state = StateAgeTracker()
     for index in range(10 * MAX_PENDING_CLAIMS):
         state.add_claim(index, float(index))
@@ -66,19 +66,19 @@
     assert state.confirmed_at_ms == MAX_PENDING_CLAIMS - 1.0
 
 
-def test_a_follower_whose_answers_are_lost_grows_old_however_much_it_hears():
-    group = settled()
-    leader, deaf = group.leader(), followers(group)[0]
+def test_the_state_of_a_follower_whose_replies_are_lost_ages_although_it_receives_appends():
+    group = settled_group()
+    leader, unheard = group.leader(), followers(group)[0]
     sent = group.send
-    group.send = lambda sender, *rest: None if sender is deaf else sent(sender, *rest)
+    group.send = lambda sender, *rest: None if sender is unheard else sent(sender, *rest)
     began = group.now
     group.run(2000)
-    assert deaf.replica.ms_since_leader_contact(group.now) < 200.0 and group.leader() is leader
-    assert age(group, deaf) >= group.now - began
+    assert unheard.replica.ms_since_leader_contact(group.now) < 200.0 and group.leader() is leader
+    assert age(group, unheard) >= group.now - began
 
 
-def test_a_leader_that_no_majority_answers_grows_old():
-    group = settled()
+def test_the_state_of_a_leader_without_replies_from_a_majority_ages():
+    group = settled_group()
     leader = group.leader()
     for other in followers(group):
         group.cut_links.add(frozenset((leader.address, other.address)))
@@ -87,12 +87,12 @@
     assert age(group, leader) >= group.now - began
     group.cut_links.clear()
     group.run(2500)
-    assert age(group, leader) <= CALM_MS
+    assert age(group, leader) <= MAX_CALM_AGE_MS
 
 
-def test_a_claim_made_to_another_life_of_the_process_does_not_count():
-    """The clocks of two lives don't compare: the later one may begin lower."""
-    group = settled()
+def test_a_claim_for_another_instance_of_the_process_is_ignored():
+    """The steady clocks of two instances cannot be compared: that of the later one may start lower."""
+    group = settled_group()
     process = followers(group)[0]
     replica = process.replica
     confirmed = replica.state_age_tracker.confirmed_at_ms
@@ -107,12 +107,12 @@
     assert replica.state_age_tracker.confirmed_at_ms == confirmed
     request.life = replica.instance_id
     replica.handle(group.now, raft.Received(message))
-    assert replica.state_age_tracker.confirmed_at_ms == group.now, "and no claim reaches into the future"
+    assert replica.state_age_tracker.confirmed_at_ms == group.now, "a claim must not reach into the future"
 
 
 def test_a_leader_claims_nothing_before_an_entry_of_its_own_term_is_committed():
-    """It may not know yet of all that the leaders before it have committed."""
-    group = led_anew()
+    """It may not know yet everything that earlier leaders have committed."""
+    group = group_with_new_leader()
     leader = group.leader()
     other = next(p for p in followers(group) if p.address not in group.down)
     before = other.replica.state_age_tracker.confirmed_at_ms
@@ -120,12 +120,12 @@
     group.run(300)
     assert other.replica.state_age_tracker.confirmed_at_ms == before
     group.run(2000)
-    assert age(group, other) <= CALM_MS + 400.0
+    assert age(group, other) <= MAX_CALM_AGE_MS + 400.0
 
 
-def test_an_answer_from_a_log_that_does_not_join_makes_a_new_leader_certain_of_nothing():
-    """It proves that nobody else leads, not that this leader knows what those before it have committed."""
-    group = led_anew()
+def test_a_rejected_append_confirms_nothing_to_a_new_leader():
+    """It proves that no other replica leads, but not that this leader knows what earlier ones committed."""
+    group = group_with_new_leader()
     leader, other = group.leader(), next(p for p in followers(group) if p.address not in group.down)
     confirmed = leader.replica.state_age_tracker.confirmed_at_ms
     reply = pb.ConsensusMessage(
@@ -141,8 +141,8 @@
     assert age(group, leader) == group.now - confirmed
 
 
-def test_what_a_leader_claims_is_acknowledged_nowhere_else():
-    """Whatever a young state lacks was acknowledged after the time of which it is certain."""
+def test_a_state_lacks_no_write_acknowledged_before_its_confirmed_time():
+    """Every write that a state lacks was acknowledged after the time up to which the state is confirmed."""
     for seed in range(12):
         group = VirtualGroup(seed, loss=0.05)
         group.run(3000)
@@ -164,7 +164,7 @@
                 group.cut_links.clear()
             group.run(30)
             for process in group.processes.values():
-                certain = process.replica.state_age_tracker.confirmed_at_ms
+                confirmed = process.replica.state_age_tracker.confirmed_at_ms
                 missing = [at for at, i in acknowledged if i > process.replica.log.applied_index]
-                assert all(at >= certain for at in missing), (seed, step, process.address)
+                assert all(at >= confirmed for at in missing), (seed, step, process.address)
         assert len(acknowledged) > 15
--- a/tests/system/test_store.py
+++ b/tests/system/test_store.py
@@ -1,4 +1,4 @@
-"""The disk of a control-plane process."""
+"""The store of a control-plane process."""
 
 import sqlite3
 
@@ -13,7 +13,7 @@
     return pb.LogEntry(index=index, term=term, data=data)
 
 
-def test_the_disk_keeps_log_snapshot_and_identity(tmp_path):
+def test_the_store_keeps_log_snapshot_and_identity(tmp_path):
     store = Store(tmp_path)
     assert store.identity() is None
     store.set_identity("a#0")
@@ -35,11 +35,11 @@
     assert loaded.snapshot.membership.members[0].replica_id == "a#0"
 
 
-def test_a_write_that_fails_leaves_nothing_behind(tmp_path):
+def test_a_failed_write_leaves_no_partial_transaction(tmp_path):
     store = Store(tmp_path)
-    good = ("g", raft.Persist(raft.HardState(2, "v"), entries=[entry(1)]))
-    twice = ("g", raft.Persist(raft.HardState(3, "w"), entries=[entry(1)]))
-    store.write([good])
+    valid = ("g", raft.Persist(raft.HardState(2, "v"), entries=[entry(1)]))
+    duplicate = ("g", raft.Persist(raft.HardState(3, "w"), entries=[entry(1)]))
+    store.write([valid])
     with pytest.raises(sqlite3.IntegrityError):
-        store.write([("h", raft.Persist(raft.HardState(9, ""))), twice])
+        store.write([("h", raft.Persist(raft.HardState(9, ""))), duplicate])
     assert store.load("g").hard_state.term == 2 and store.load("h").hard_state.term == 0
