--- a/tests/system/test_cut_off_control.py
+++ b/tests/system/test_cut_off_control.py
@@ -1,7 +1,7 @@
-"""A control machine cut off for twenty seconds, in every way: what it says meanwhile, and afterwards.
+"""A control-plane process cut off for twenty seconds by different faults: its responses until after recovery.
 
-It serves no old configuration, confirms nothing that a majority has not, refuses nothing for good, and starts
-no scheduler on old state.  Times are seconds of virtual time.
+It serves no old configuration, acknowledges nothing that a majority has not committed, refuses nothing
+permanently, and starts no scheduler with an old state.  Times are in seconds of virtual time.
 """
 
 import asyncio
@@ -15,18 +15,18 @@
 from molespur.system.shards.placement import CONFIGURATION
 
 CUT_S = 20.0
-SETTLED_S = 6.0
+SETTLE_S = 6.0
 LEARNER = "10.0.0.4"
-AT_ONCE_S = 0.05  # for an answer, once the cut can be known
-KNOWN_AFTER_S = 1.5
-LONGEST_S = 1.0  # for any answer
+MAX_REFUSAL_S = 0.05  # for a 503 response, once the process can have detected the cut
+DETECTED_AFTER_S = 1.5
+MAX_RESPONSE_S = 1.0  # for any response
 
 
 def hang_disk(fleet, address):
     fleet.processes[address].disk_slowness = CUT_S / 0.02
 
 
-WAYS = {
+FAULTS = {
     "all": cut_off,
     "core": cut_from_control,
     "outgoing": not_heard,
@@ -37,76 +37,78 @@
 }
 
 
-class Newest:
-    """The newest change that was acknowledged, and the base that it was built on."""
+class NewestChange:
+    """The newest acknowledged change and its base version."""
 
     def __init__(self):
         self.version = self.base = 0
         self.body = b""
 
-    def taken(self, version, base, body):
+    def record(self, version, base, body):
         self.version, self.base, self.body = version, base, body
 
 
-async def operator(fleet, newest):
-    """Changes one after the other, at whichever process takes them."""
+async def put_changes(fleet, newest):
+    """Put one change after the other, at any process that accepts them."""
     while True:
         version, base = newest.version + 1, newest.version
-        answer = await fleet.put(version, base, f"m{version}")
-        if answer is not None and answer[0] == 200:
-            newest.taken(version, base, configuration(version, f"m{version}"))
+        response = await fleet.put(version, base, f"m{version}")
+        if response is not None and response[0] == 200:
+            newest.record(version, base, configuration(version, f"m{version}"))
         else:
-            assert answer is None, f"a proper change was refused: {answer}"
+            assert response is None, f"a valid change was refused: {response}"
         await asyncio.sleep(0.3)
 
 
 class Prober:
-    """Operators, workers and schedulers that reach the machine which is cut off."""
+    """Operators, workers and schedulers that send requests to the process that is cut off."""
 
     def __init__(self, fleet, address, newest):
         self.fleet, self.address, self.newest = fleet, address, newest
         self.cut_at, self.healed_at = float("inf"), float("inf")
-        self.said = {}  # status -> how often, during the cut
+        self.statuses = {}  # status -> number of responses during the cut
         self.sequence = 0
-        self.started = []  # (newest version when it asked, version that it was started with)
+        self.started = []  # (newest version at the request, version that the scheduler received)
 
     async def run(self):
         while True:
-            await self.read()
-            await self.repeat()
-            await self.worker()
-            self.scheduler()
+            await self.read_configuration()
+            await self.repeat_change()
+            await self.register_worker()
+            self.start_scheduler()
             await asyncio.sleep(0.25)
 
     async def _call(self, method, path, body=b"", headers=None):
         began = self.fleet.loop.time()
-        answer = await self.fleet.call(method, path, body, headers or {}, self.address)
+        response = await self.fleet.call(method, path, body, headers or {}, self.address)
         took = self.fleet.loop.time() - began
-        if answer is not None:
-            assert took <= LONGEST_S
-            if self.cut_at + KNOWN_AFTER_S < began < self.healed_at:
-                self.said[answer[0]] = self.said.get(answer[0], 0) + 1
-                if answer[0] == 503:
-                    assert took <= AT_ONCE_S, f"{method} {path} took {took} s"
-        return answer
-
-    async def read(self):
+        if response is not None:
+            assert took <= MAX_RESPONSE_S
+            if self.cut_at + DETECTED_AFTER_S < began < self.healed_at:
+                self.statuses[response[0]] = self.statuses.get(response[0], 0) + 1
+                if response[0] == 503:
+                    assert took <= MAX_REFUSAL_S, f"{method} {path} took {took} s"
+        return response
+
+    async def read_configuration(self):
         version = self.newest.version
-        answer = await self._call("GET", "/api/config")
-        if answer is not None and answer[0] != 307:
-            assert answer[0] in (200, 503) or version == 0, answer
-            if answer[0] == 200:
-                assert self.fleet.checker.version_of[answer[1]] >= version, "an old configuration was served"
-
-    async def repeat(self):
-        """The newest change once more: it was taken, so no process may refuse it."""
+        response = await self._call("GET", "/api/config")
+        if response is not None and response[0] != 307:
+            assert response[0] in (200, 503) or version == 0, response
+            if response[0] == 200:
+                assert self.fleet.checker.version_of[response[1]] >= version, (
+                    "an old configuration was served"
+                )
+
+    async def repeat_change(self):
+        """Put the newest change again: it was accepted, so no process may refuse it."""
         if self.newest.version:
             headers = {"If-Match": str(self.newest.base)}
-            answer = await self._call("PUT", "/api/config", self.newest.body, headers)
-            assert answer is None or answer[0] in (200, 307, 503), answer
+            response = await self._call("PUT", "/api/config", self.newest.body, headers)
+            assert response is None or response[0] in (200, 307, 503), response
 
-    async def worker(self):
-        """A worker that reports here and leaves; each call twice, as after a lost answer."""
+    async def register_worker(self):
+        """Register a worker and drain it; the last call is repeated, as after a lost response."""
         self.sequence += 1
         name = f"p{self.sequence}"
         for state, number in (("ready", 1), ("draining", 2), ("draining", 2)):
@@ -117,27 +119,27 @@
         body = (
             f'{{"Service":"s","Address":"10.2.1.{name}:1","Zone":"a","State":"{state}","Sequence":{number}}}'
         )
-        answer = await self._call("PUT", f"/api/instances/w-{name}", body.encode())
-        return answer is not None and answer[0] == 200
+        response = await self._call("PUT", f"/api/instances/w-{name}", body.encode())
+        return response is not None and response[0] == 200
 
-    def scheduler(self):
-        """A scheduler that has nothing yet asks this process for its first state."""
+    def start_scheduler(self):
+        """Let a scheduler without any state subscribe to the feed of this process."""
         process = self.fleet.processes[self.address]
-        asked = self.newest.version
-        seen = []
+        newest_at_request = self.newest.version
+        received = []
 
-        def told(frame):
+        def receive(frame):
             update = frame.update
-            if frame.HasField("update") and update.group == CONFIGURATION and not seen:
-                seen.append(pb.ConfigurationState.FromString(update.payload).version)
-                self.started.append((asked, seen[0]))
+            if frame.HasField("update") and update.group == CONFIGURATION and not received:
+                received.append(pb.ConfigurationState.FromString(update.payload).version)
+                self.started.append((newest_at_request, received[0]))
 
-        back = Link(self.fleet, self.address, "edge-probe", told)
+        link = Link(self.fleet, self.address, "edge-probe", receive)
         frame = pb.Frame(subscribe=pb.Subscribe(node=f"probe-{self.sequence}"))
-        process.when_awake(process.plane._frame, back, frame)
+        process.when_awake(process.plane._frame, link, frame)
 
 
-def chosen(fleet, role):
+def process_with_role(fleet, role):
     if role == "learner":
         return LEARNER
     leader = fleet.leader()
@@ -145,44 +147,44 @@
 
 
 @pytest.mark.parametrize("role", ["leader", "follower", "learner"])
-@pytest.mark.parametrize("way", WAYS)
-def test_a_machine_that_is_cut_off_says_nothing_old_and_nothing_of_its_own(way, role, monkeypatch):
+@pytest.mark.parametrize("fault", FAULTS)
+def test_a_process_that_is_cut_off_serves_no_old_state_and_acknowledges_nothing(fault, role, monkeypatch):
     async def history(fleet):
-        await asyncio.sleep(SETTLED_S)
-        address, newest = chosen(fleet, role), Newest()
+        await asyncio.sleep(SETTLE_S)
+        address, newest = process_with_role(fleet, role), NewestChange()
         prober = Prober(fleet, address, newest)
-        parts = [asyncio.create_task(part) for part in (operator(fleet, newest), prober.run())]
+        tasks = [asyncio.create_task(task) for task in (put_changes(fleet, newest), prober.run())]
         await asyncio.sleep(3.0)
         prober.cut_at = fleet.loop.time()
-        WAYS[way](fleet, address)
+        FAULTS[fault](fleet, address)
         await asyncio.sleep(CUT_S)
         before = newest.version
-        assert before > 10, "the others went on"
+        assert before > 10, "the other processes must continue"
         prober.healed_at = fleet.loop.time()
         heal(fleet, address)
-        await asyncio.sleep(SETTLED_S)
-        for part in parts:
-            assert not part.done(), part.exception()
-            part.cancel()
+        await asyncio.sleep(SETTLE_S)
+        for task in tasks:
+            assert not task.done(), task.exception()
+            task.cancel()
         await asyncio.sleep(0.5)
-        assert all(version >= asked for asked, version in prober.started), prober.started
-        assert any(asked >= before for asked, _ in prober.started), "it starts schedulers again"
+        assert all(version >= requested for requested, version in prober.started), prober.started
+        assert any(requested >= before for requested, _ in prober.started), "it must start schedulers again"
         assert newest.version > before
-        answer = await fleet.ask("GET", "/api/config", tries=40)
-        fleet.checker.check(answer[1])
+        response = await fleet.ask("GET", "/api/config", tries=40)
+        fleet.checker.check(response[1])
         own = fleet.processes[address].plane.host.groups[CONFIGURATION].state_machine
         assert own.version >= newest.version
-        if way in ("all", "core", "outgoing", "incoming"):
-            assert set(prober.said) <= {503, 307} and prober.said, prober.said
+        if fault in ("all", "core", "outgoing", "incoming"):
+            assert set(prober.statuses) <= {503, 307} and prober.statuses, prober.statuses
 
     VirtualFleet(4, monkeypatch, schedulers=1, spares=(LEARNER,)).run(history)
 
 
-def test_a_leader_that_is_cut_off_gives_its_duties_up_until_it_is_in_touch(monkeypatch):
-    """It judges no worker silent, and takes no proposal, before it steps down and after."""
+def test_a_leader_that_is_cut_off_stops_its_duties_until_it_has_contact_again(monkeypatch):
+    """It declares no worker silent and accepts no proposal, both before and after it steps down."""
 
     async def history(fleet):
-        await asyncio.sleep(SETTLED_S)
+        await asyncio.sleep(SETTLE_S)
         for number in range(4):
             await fleet.beat(number, "ready", 1)
         leaders = {name: fleet.leader(name) for name in fleet.processes[ADDRESSES[0]].plane.host.groups}
@@ -194,20 +196,20 @@
             await asyncio.sleep(0.75)
             assert not any(host.has_quorum_contact(name) for name in led)
             for name in led:
-                asked = fleet.loop.time()
+                requested_at = fleet.loop.time()
                 with pytest.raises(FleetError):
                     await host.propose(name, b"")
-                assert fleet.loop.time() == asked, "nobody waits for what can't be committed"
+                assert fleet.loop.time() == requested_at, "the proposal must be refused at once"
             await asyncio.sleep(CUT_S)
             assert logs == {name: host.groups[name].replica.log.last_index for name in led}
             fleet.heal()
-            await asyncio.sleep(SETTLED_S)
+            await asyncio.sleep(SETTLE_S)
 
     VirtualFleet(2, monkeypatch, schedulers=1).run(history)
 
 
-def test_no_clock_but_the_steady_one_is_read_by_the_control_plane():
-    """So a step of the time of day changes nothing: the safety of control rests on no clock at all."""
+def test_the_control_plane_reads_only_the_steady_clock():
+    """A step of the time of day thus has no effect; the safety of the control plane depends on no clock."""
     import ast
     from pathlib import Path
 
@@ -215,9 +217,9 @@
 
     root = Path(package.__file__).parent
     folders = ("consensus", "control_plane", "feed", "membership", "shards", "storage", "workers", "rpc")
-    wall = {"time", "time_ns", "now", "utcnow", "today"}
+    wall_clock = {"time", "time_ns", "now", "utcnow", "today"}
     for path in (path for folder in folders for path in (root / folder).glob("*.py")):
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.Attribute) and isinstance(node.value, ast.Name):
-                read = node.value.id in ("time", "datetime", "date") and node.attr in wall
-                assert not read, f"{path.name}:{node.lineno}"
+                reads_wall_clock = node.value.id in ("time", "datetime", "date") and node.attr in wall_clock
+                assert not reads_wall_clock, f"{path.name}:{node.lineno}"
