--- a/tests/system/mutations/__init__.py
+++ b/tests/system/mutations/__init__.py
@@ -1,1 +1,1 @@
-"""Deliberate breaks of the lines that the safety of control rests on, and which tests catch them."""
+"""Deliberate faults in source lines that the safety of the system depends on, and which tests catch them."""
--- a/tests/system/mutations/test_breaks.py
+++ b/tests/system/mutations/test_breaks.py
@@ -1,4 +1,4 @@
-"""Each break still fits the sources, so that the command which plays them says what it means to."""
+"""Each mutation still matches the sources, so that the command that runs them tests what it claims to."""
 
 from pathlib import Path
 
@@ -9,13 +9,13 @@
 ROOT = Path(__file__).resolve().parents[3]
 
 
-@pytest.mark.parametrize("made", BREAKS, ids=lambda made: made.name)
-def test_the_line_of_a_break_stands_once_and_its_tests_are_there(made):
-    assert (ROOT / made.file).read_text().count(made.line) == 1
-    assert made.broken != made.line
-    for test in made.tests:
+@pytest.mark.parametrize("mutation", BREAKS, ids=lambda mutation: mutation.name)
+def test_the_text_of_a_mutation_occurs_once_and_its_tests_exist(mutation):
+    assert (ROOT / mutation.file).read_text().count(mutation.original) == 1
+    assert mutation.replacement != mutation.original
+    for test in mutation.tests:
         assert (ROOT / test).exists(), test
 
 
-def test_there_are_thirty_breaks_with_names_of_their_own():
-    assert len({made.name for made in BREAKS}) == len(BREAKS) >= 30
+def test_there_are_at_least_thirty_mutations_with_unique_names():
+    assert len({mutation.name for mutation in BREAKS}) == len(BREAKS) >= 30
