--- a/molespur/system/consensus/compaction.py
+++ b/molespur/system/consensus/compaction.py
@@ -1,4 +1,4 @@
-"""Decides when a replica replaces the start of its log by a snapshot.  Pure.
+"""Decides when a replica replaces the start of its log by a snapshot.  No I/O.
 
 The compaction points depend on the log alone.  All replicas therefore have snapshots of the same indexes with
 the same bytes, and a snapshot transfer that one leader has started can be finished by another leader.
--- a/molespur/system/consensus/log.py
+++ b/molespur/system/consensus/log.py
@@ -20,7 +20,7 @@
         self._record_memberships(self.entries)
         self.durable_index = self.last_index
 
-    # -- Queries ----------------------------------------------------------------------
+    # -- Queries -------------------------------------------------------------------------------
 
     @property
     def last_index(self) -> int:
@@ -48,7 +48,7 @@
         return self.entries[position] if 0 <= position < len(self.entries) else None
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of the entry at an index; None if the log does not know it."""
+        """Return the term of the entry at an index; None if the log has neither it nor its snapshot."""
         if index == self.snapshot.index:
             return self.snapshot.term
         entry = self.entry(index)
--- a/molespur/system/consensus/progress.py
+++ b/molespur/system/consensus/progress.py
@@ -1,6 +1,6 @@
 """What a leader knows about each of the other replicas, and which values a majority has reached.
 
-Pure.  Times are in milliseconds on the leader's steady clock unless noted otherwise.
+No I/O.  Times are in milliseconds on the leader's steady clock unless noted otherwise.
 """
 
 from collections.abc import Iterable
--- a/molespur/system/consensus/read_index.py
+++ b/molespur/system/consensus/read_index.py
@@ -1,4 +1,4 @@
-"""ReadIndex: reads at a leader that wait until a majority has confirmed its leadership.  Pure.
+"""ReadIndex: reads at a leader that wait until a majority has confirmed its leadership.  No I/O.
 
 Source: Ongaro, 2014, section 6.4.
 """
--- a/molespur/system/consensus/replica.py
+++ b/molespur/system/consensus/replica.py
@@ -1,4 +1,4 @@
-"""A replica of one group: the Raft consensus algorithm as a pure state machine.
+"""A replica of one group: the Raft consensus algorithm as a state machine without I/O.
 
 `Replica.handle(now, event)` takes an event and returns the resulting actions in order.  Times are in
 milliseconds on a steady clock.  The caller executes the actions.  It writes `Persist` records in order and
--- a/molespur/system/consensus/snapshot_transfer.py
+++ b/molespur/system/consensus/snapshot_transfer.py
@@ -1,4 +1,4 @@
-"""Transfers snapshots from a leader to a follower in chunks.  Pure.
+"""Transfers snapshots from a leader to a follower in chunks.  No I/O.
 
 A chunk is sent once the chunk before it has been acknowledged.  The reply states how many bytes the follower
 holds, so a transfer resumes where it stopped: after a lost chunk, and also under another leader, whose
--- a/molespur/system/consensus/state_age.py
+++ b/molespur/system/consensus/state_age.py
@@ -1,4 +1,4 @@
-"""Tracks how old the state of a replica is.  Pure.
+"""Tracks how old the state of a replica is.  No I/O.
 
 The age of a state is the time since which a write may have been acknowledged that the state lacks.
 
--- a/molespur/system/shards/history.py
+++ b/molespur/system/shards/history.py
@@ -1,4 +1,4 @@
-"""The recent changes of a group, for feed followers that lack some of them.  Pure.
+"""The recent changes of a group, for feed followers that lack some of them.  No I/O.
 
 A follower that lacks more changes than are kept is sent the full state instead.  Each configuration change
 contains the full configuration, so a limit on the number of changes would not bound the memory; their total
--- a/molespur/system/shards/host.py
+++ b/molespur/system/shards/host.py
@@ -1,4 +1,4 @@
-"""The replicas that a control-plane process hosts: executes the actions of the pure replicas.
+"""The replicas that a control-plane process hosts: executes the actions of the replicas, which do no I/O.
 
 Each process hosts one replica of every group.  Each group has its own leader and its own log.
 """
--- a/molespur/system/shards/lag.py
+++ b/molespur/system/shards/lag.py
@@ -1,4 +1,4 @@
-"""Limits the log lines about a replica that lags behind its leader's commit index.  Pure; times are in ms."""
+"""Limits the log lines about a replica that lags behind its leader.  Times are in milliseconds."""
 
 MIN_LAG_MS = 300.0  # a shorter lag is ordinary replication delay
 LOG_INTERVAL_MS = 1000.0
--- a/molespur/system/shards/membership_changes.py
+++ b/molespur/system/shards/membership_changes.py
@@ -1,4 +1,4 @@
-"""Plans how the leader of a replica group changes its members: one voter at a time, learners first.  Pure.
+"""Plans how the leader of a replica group changes its members: one voter at a time, learners first.  No I/O.
 
 A replica that starts with an empty disk is a learner until it has the whole log.  It then takes the vote of
 
--- a/tests/system/test_many_changes.py
+++ b/tests/system/test_many_changes.py
@@ -282,8 +282,8 @@
         await asyncio.sleep(0.5)
         host = fleet.processes[absent].plane.host
         assert host.groups[CONFIGURATION].state_machine.version == 301
-        answer = await fleet.ask("GET", "/api/config", tries=40)
-        fleet.checker.check(answer[1])
+        response = await fleet.ask("GET", "/api/config", tries=40)
+        fleet.checker.check(response[1])
         fleet.restart(leader)
         await asyncio.sleep(5.0)
 
--- a/tests/system/test_second_loss.py
+++ b/tests/system/test_second_loss.py
@@ -23,9 +23,9 @@
     """Send one change until its outcome is known; return the virtual time that it took."""
     began = fleet.loop.time()
     while fleet.loop.time() - began < timeout_s:
-        answer = await fleet.put(number, number - 1, "m")
-        if answer is not None:
-            assert answer[0] == 200
+        response = await fleet.put(number, number - 1, "m")
+        if response is not None:
+            assert response[0] == 200
             return fleet.loop.time() - began
     raise AssertionError(f"change {number} was not accepted within {timeout_s} s: voters {fleet.voters()}")
 
--- a/tests/system/test_state_age.py
+++ b/tests/system/test_state_age.py
@@ -23,17 +23,17 @@
 
 @pytest.mark.parametrize("role", ["leader", "follower"])
 def test_schedulers_leave_a_source_that_has_leader_contact_but_an_old_state(role, monkeypatch):
-    seen = measure(monkeypatch, Run("not heard", role, for_s=8.0))
-    assert len(seen.acknowledged) > 60, "too few changes were acknowledged"
-    assert seen.worst() <= MAX_PROPAGATION_MS
+    measured = measure(monkeypatch, Run("not heard", role, for_s=8.0))
+    assert len(measured.acknowledged) > 60, "too few changes were acknowledged"
+    assert measured.worst() <= MAX_PROPAGATION_MS
 
 
 @pytest.mark.parametrize("role", ["leader", "follower"])
-@pytest.mark.parametrize("trouble", TROUBLES)
-def test_a_change_takes_effect_well_within_the_limit_under_any_single_fault(trouble, role, monkeypatch):
+@pytest.mark.parametrize("fault", TROUBLES)
+def test_a_change_takes_effect_well_within_the_limit_under_any_single_fault(fault, role, monkeypatch):
     for seed in SEEDS:
-        seen = measure(monkeypatch, Run(trouble, role, seed=seed))
-        assert len(seen.acknowledged) > 30 and seen.worst() <= MAX_ONE_FAULT_MS, seed
+        measured = measure(monkeypatch, Run(fault, role, seed=seed))
+        assert len(measured.acknowledged) > 30 and measured.worst() <= MAX_ONE_FAULT_MS, seed
 
 
 def test_a_shard_without_a_leader_does_not_hide_an_old_configuration(monkeypatch):
@@ -41,19 +41,19 @@
 
     This guards against the following failure: that process received no messages from the others, but they
     received its messages, so its shard had no other leader for 2 s.  Schedulers compared sources by their
-    oldest shard, found no difference, and stayed with the source whose configuration was
-    old.  `benchmarks.propagation` showed 2,000 ms with the fault "not hearing" and seed 15.
+    oldest shard, found no difference, and stayed with the source whose configuration was old.
+    `benchmarks.propagation` showed 2,000 ms with the fault "not hearing" and seed 15.
     """
     assert measure(monkeypatch, Run("not hearing", seed=15)).worst() <= MAX_ONE_FAULT_MS
 
 
 @pytest.mark.parametrize("course", ["two in a row", "again and again"])
-@pytest.mark.parametrize("trouble", ["cut off", "not heard", "not hearing", "frozen"])
-def test_two_faults_and_a_recurring_fault_stay_within_the_limit(trouble, course, monkeypatch):
-    seen = measure(monkeypatch, Run(trouble, "leader", course=course))
-    assert len(seen.acknowledged) > 30 and seen.worst() <= MAX_TWO_FAULTS_MS
+@pytest.mark.parametrize("fault", ["cut off", "not heard", "not hearing", "frozen"])
+def test_two_faults_and_a_recurring_fault_stay_within_the_limit(fault, course, monkeypatch):
+    measured = measure(monkeypatch, Run(fault, "leader", course=course))
+    assert len(measured.acknowledged) > 30 and measured.worst() <= MAX_TWO_FAULTS_MS
 
 
 def test_five_voters_and_many_schedulers(monkeypatch):
-    seen = measure(monkeypatch, Run("not heard", "leader", schedulers=40, voters=5))
-    assert seen.worst() <= MAX_ONE_FAULT_MS
+    measured = measure(monkeypatch, Run("not heard", "leader", schedulers=40, voters=5))
+    assert measured.worst() <= MAX_ONE_FAULT_MS
