--- a/molespur/system/consensus/leading.py
+++ b/molespur/system/consensus/leading.py
@@ -1,4 +1,4 @@
-"""Replication, the leader's side: proposals, appends, commits, reads, and the transfer of the lead."""
+"""Replication on the leader: proposals, appends, commits, reads and leadership transfer."""
 
 from math import floor
 
@@ -6,15 +6,15 @@
 from .progress import Progress
 from .records import NotLeader, Proposed, ReadConfirmed, ReadRefused, Role
 from .replica_state import ReplicaState
-from .snapshot_transfer import SnapshotSending
-from .timing import ELECTION_MS, HEARTBEAT_MS, RETRY_APPEND_MS
+from .snapshot_transfer import SnapshotSender
+from .timing import APPEND_RETRY_TIMEOUT_MS, HEARTBEAT_INTERVAL_MS, MAX_ELECTION_TIMEOUT_MS
 
 
-class Leading(ReplicaState):
-    """A replica as the leader."""
+class LeaderMixin(ReplicaState):
+    """The leader part of a replica."""
 
     def _propose(self, kind: int, data: bytes) -> None:
-        if self.role is not Role.LEADER or (self.transfer_to and kind == pb.COMMAND):
+        if self.role is not Role.LEADER or (self.transfer_target_id and kind == pb.COMMAND):
             self._actions.append(NotLeader())
             return
         entry = pb.LogEntry(index=self.log.last_index + 1, term=self.hard_state.term, kind=kind, data=data)
@@ -24,12 +24,12 @@
         self._broadcast()
 
     def _change_membership(self, membership: pb.Membership) -> None:
-        if self.role is not Role.LEADER or not self.log.membership_committed or self.transfer_to:
+        if self.role is not Role.LEADER or not self.log.membership_committed or self.transfer_target_id:
             return
         if not self._own_term_committed():
             return
-        new = {m.replica_id for m in membership.members if m.voter}
-        if len(new ^ set(self.voters())) > 1 or self.id not in new:
+        new_voters = {m.replica_id for m in membership.members if m.voter}
+        if len(new_voters ^ set(self.voters())) > 1 or self.id not in new_voters:
             return
         self._propose(pb.MEMBERSHIP, membership.SerializeToString())
         for member in membership.members:
@@ -38,104 +38,103 @@
         self.progress = {k: p for k, p in self.progress.items() if self.member(k)}
 
     def _progress_of(self, member: pb.Member) -> Progress:
-        fresh = Progress(next=self.log.last_index + 1, heard_at=self.now)
-        return self.progress.setdefault(member.replica_id, fresh)
+        initial = Progress(next_index=self.log.last_index + 1, last_reply_at_ms=self.now)
+        return self.progress.setdefault(member.replica_id, initial)
 
     def _broadcast(self) -> None:
-        self.heartbeat_at = self.now + HEARTBEAT_MS
+        self.next_heartbeat_at_ms = self.now + HEARTBEAT_INTERVAL_MS
         for member in self.log.membership.members:
             if member.replica_id != self.id:
                 self._replicate(member)
 
     def _replicate(self, member: pb.Member) -> None:
-        """Send what the member lacks, or an empty append while an earlier one is unanswered."""
+        """Send the entries or snapshot that the member lacks, or a heartbeat while others are in flight."""
         progress = self._progress_of(member)
-        progress.give_up(self.now, RETRY_APPEND_MS)
-        message = self._message(member.replica_id)
-        previous_term = self.log.term_at(progress.next - 1)
+        progress.reset_stale_inflight(self.now, APPEND_RETRY_TIMEOUT_MS)
+        message = self._new_message(member.replica_id)
+        previous_term = self.log.term_at(progress.next_index - 1)
         if previous_term is None:
-            if progress.waiting_since is None:
+            if progress.inflight_since_ms is None:
                 self._send_snapshot(member, progress)
             else:
                 self._send_heartbeat(member)
             return
         request = message.append_request
-        request.previous_index, request.previous_term = progress.next - 1, previous_term
+        request.previous_index, request.previous_term = progress.next_index - 1, previous_term
         request.commit_index = self.log.commit_index
         request.sent_at_ms = int(self.now)
         request.read_round = self.reads.round
-        self._claim(request, progress)
-        if progress.waiting_since is None:
-            entries = self.log.batch(progress.next)
+        self._add_claim(request, progress)
+        if progress.inflight_since_ms is None:
+            entries = self.log.entries_from(progress.next_index)
             if entries:
                 request.entries.extend(entries)
-                progress.sent(self.now, entries[-1].index)
+                progress.start_inflight(self.now, entries[-1].index)
         last = request.entries[-1].index if request.entries else request.previous_index
-        progress.commit_told = min(request.commit_index, last)
+        progress.sent_commit_index = min(request.commit_index, last)
         self._send(member, message)
 
-    def _claim(self, request: pb.AppendRequest, progress: Progress) -> None:
-        """Tell a member up to when, by its own clock, the commit index holds all that was acknowledged.
+    def _add_claim(self, request: pb.AppendRequest, progress: Progress) -> None:
+        """Add a state age claim: the time before which every acknowledged write is within the commit index.
 
-        Never later than its last reply, so that no clock is taken to run like another for longer than a
-        round trip.
+        The time is on the member's own clock and never later than its last reply.  The clocks of both
+        processes are thus assumed to run at the same rate for no longer than a round trip.
         """
-        confirmed_at = self._confirmed_by_lead(self.now)
-        if progress.life and confirmed_at > float("-inf"):
-            before_reply = max(progress.heard_at - confirmed_at, 0.0)
-            request.life = progress.life
-            request.confirmed_at_ms = floor(progress.replied_at - before_reply)
+        confirmed_at = self._confirmed_as_leader_at(self.now)
+        if progress.peer_instance_id and confirmed_at > float("-inf"):
+            before_reply = max(progress.last_reply_at_ms - confirmed_at, 0.0)
+            request.life = progress.peer_instance_id
+            request.confirmed_at_ms = floor(progress.peer_replied_at_ms - before_reply)
 
     def _send_heartbeat(self, member: pb.Member) -> None:
-        """An append that asks for nothing: while a snapshot is on its way the leader must still be heard."""
-        message = self._message(member.replica_id)
+        """Send an empty append: keeps contact with the member while a snapshot chunk is in flight."""
+        message = self._new_message(member.replica_id)
         message.append_request.sent_at_ms = int(self.now)
         message.append_request.read_round = self.reads.round
         self._send(member, message)
 
     def _send_snapshot(self, member: pb.Member, progress: Progress) -> None:
-        """Send the next piece of the snapshot that is on its way, or begin with the newest one."""
-        if progress.snapshot is None:
-            progress.snapshot = SnapshotSending.of(self.log.snapshot, progress.held)
-        message = self._message(member.replica_id)
-        progress.snapshot.fill(message.install_snapshot)
+        """Send the next chunk of the snapshot transfer; starts one with the newest snapshot if needed."""
+        if progress.snapshot_sender is None:
+            progress.snapshot_sender = SnapshotSender.create(self.log.snapshot, progress.partial_snapshot)
+        message = self._new_message(member.replica_id)
+        progress.snapshot_sender.fill_chunk(message.install_snapshot)
         message.install_snapshot.sent_at_ms = int(self.now)
         message.install_snapshot.read_round = self.reads.round
-        progress.sent(self.now, progress.snapshot.snapshot.index)
+        progress.start_inflight(self.now, progress.snapshot_sender.snapshot.index)
         self._send(member, message)
 
-    def _append_replied(self, message: pb.ConsensusMessage) -> None:
+    def _handle_append_reply(self, message: pb.ConsensusMessage) -> None:
         progress = self.progress.get(message.sender)
         if self.role is not Role.LEADER or progress is None:
             return
-        progress.answered(self.now, message.append_reply)
+        progress.handle_reply(self.now, message.append_reply)
         self._confirm_reads()
         if message.append_reply.success:
             self._advance_commit()
         member = self.member(message.sender)
-        if member and progress.waiting_since is None and self._lacks(progress):
+        if member and progress.inflight_since_ms is None and self._needs_append(progress):
             self._replicate(member)
-        if self.transfer_to == message.sender and progress.match == self.log.last_index:
-            self._send(member, self._timeout_now(message.sender))
+        if self.transfer_target_id == message.sender and progress.match_index == self.log.last_index:
+            self._send(member, self._timeout_now_message(message.sender))
 
-    def _lacks(self, progress: Progress) -> bool:
-        """Whether a member can use a message now:
-
-        it lacks entries, or does not know that some are committed.
-        """
-        return progress.match < self.log.last_index or progress.commit_told < self.log.commit_index
+    def _needs_append(self, progress: Progress) -> bool:
+        """Return whether a member lacks entries or does not know that some of its entries are committed."""
+        return (
+            progress.match_index < self.log.last_index or progress.sent_commit_index < self.log.commit_index
+        )
 
     def _advance_commit(self) -> None:
-        majority = self._reached(self.log.durable_index, lambda progress: progress.match)
+        majority = self._quorum_value(self.log.durable_index, lambda progress: progress.match_index)
         if majority is None or majority <= self.log.commit_index:
             return
-        if self.log.holds(majority, self.hard_state.term):
+        if self.log.has_entry(majority, self.hard_state.term):
             self._commit_to(majority)
-            self._broadcast()  # followers apply it at once, and their feeds with them
+            self._broadcast()  # followers and their feeds apply it now, not at the next heartbeat
 
     # -- Reads -------------------------------------------------------------------------------------
 
-    def _read(self, number: int) -> None:
+    def _begin_read(self, number: int) -> None:
         if self.role is not Role.LEADER or not self._own_term_committed():
             self._actions.append(ReadRefused(number))
             return
@@ -144,43 +143,47 @@
         self._confirm_reads()
 
     def _confirm_reads(self) -> None:
-        answered = self._reached(self.reads.round, lambda progress: progress.acknowledged_round)
-        if answered is not None:
-            self._actions.extend(ReadConfirmed(number) for number in self.reads.confirmed(answered))
+        majority_round = self._quorum_value(self.reads.round, lambda progress: progress.acked_read_round)
+        if majority_round is not None:
+            self._actions.extend(ReadConfirmed(number) for number in self.reads.confirm_up_to(majority_round))
 
-    # -- Planned work ----------------------------------------------------------------------------
+    # -- Leadership transfer -----------------------------------------------------------------------
 
-    def _transfer(self) -> None:
+    def _transfer_leadership(self) -> None:
         if self.role is not Role.LEADER:
             return
         recent = [
-            (p.match, k)
+            (p.match_index, k)
             for k, p in self.progress.items()
-            if k in self.voters() and self.now - p.heard_at < 2 * HEARTBEAT_MS + RETRY_APPEND_MS
+            if k in self.voters()
+            and self.now - p.last_reply_at_ms < 2 * HEARTBEAT_INTERVAL_MS + APPEND_RETRY_TIMEOUT_MS
         ]
         if not recent:
             return
-        match, self.transfer_to = max(recent)
-        self.transfer_until = self.now + ELECTION_MS[1]
-        member = self.member(self.transfer_to)
+        match, self.transfer_target_id = max(recent)
+        self.transfer_deadline_ms = self.now + MAX_ELECTION_TIMEOUT_MS
+        member = self.member(self.transfer_target_id)
         if match == self.log.last_index:
-            self._send(member, self._timeout_now(self.transfer_to))
+            self._send(member, self._timeout_now_message(self.transfer_target_id))
         else:
             self._replicate(member)
 
     def _step_down(self) -> None:
-        """Check-quorum: a leader that no majority answers leads no more, and tells another voter to campaign.
+        """Give up leadership because no majority replies (check-quorum); ask another voter to campaign.
 
-        The others may hear it although it does not hear them; they would wait for a whole election time-out.
+        The other voters may still receive this leader's messages although their replies are lost.  They would
+        otherwise wait for a full election timeout after the last message.
         """
-        others = [(progress.match, name) for name, progress in self.progress.items() if name in self.voters()]
+        others = [
+            (progress.match_index, name) for name, progress in self.progress.items() if name in self.voters()
+        ]
         if others:
             _match, successor = max(others)
-            self._send(self.member(successor), self._timeout_now(successor))
-        self._follow("")
-        self._reset_election()
+            self._send(self.member(successor), self._timeout_now_message(successor))
+        self._become_follower("")
+        self._reset_election_timer()
 
-    def _timeout_now(self, receiver: str) -> pb.ConsensusMessage:
-        message = self._message(receiver)
+    def _timeout_now_message(self, receiver: str) -> pb.ConsensusMessage:
+        message = self._new_message(receiver)
         message.timeout_now.SetInParent()
         return message
--- a/molespur/system/consensus/snapshot_transfer.py
+++ b/molespur/system/consensus/snapshot_transfer.py
@@ -1,9 +1,9 @@
-"""Snapshots that go from a leader to a follower in pieces.  Pure.
+"""Transfers snapshots from a leader to a follower in chunks.  No I/O.
 
-A piece is sent once the piece before it has been answered.  The answer tells how many bytes the follower
-holds, so a transfer goes on where it stopped: after a lost piece, and also under another leader, whose
-snapshot of the same index has the same bytes (`compaction.py`).  A follower names what it holds when it
-refuses the new leader's first append, so that not even one piece is sent twice.
+A chunk is sent once the chunk before it has been acknowledged.  The reply states how many bytes the follower
+holds, so a transfer resumes where it stopped: after a lost chunk, and also under another leader, whose
+snapshot of the same index has the same bytes (`compaction.py`).  A follower reports what it holds when it
+rejects the new leader's first append, so that no chunk is sent twice.
 """
 
 from dataclasses import dataclass
@@ -12,85 +12,87 @@
 from ..rpc import molespur_pb2 as pb
 from .records import Snapshot
 
-PIECE_BYTES = 256 << 10
+CHUNK_BYTES = 256 << 10
 
 
 @dataclass(frozen=True, slots=True)
-class HeldPieces:
-    """What a follower says that it holds of a snapshot: its index, and bytes from its start."""
+class PartialSnapshot:
+    """The part of a snapshot that a follower reports to hold: the first `received_bytes` bytes."""
 
     index: int
-    received: int
+    received_bytes: int
 
 
 @dataclass(slots=True)
-class SnapshotSending:
-    """The leader's side of one transfer; the snapshot stays the same until the transfer has ended."""
+class SnapshotSender:
+    """The leader's side of one transfer; it sends the same snapshot until the transfer has ended."""
 
     snapshot: Snapshot
     checksum: int
     offset: int = 0
 
     @classmethod
-    def of(cls, snapshot: Snapshot, held: "HeldPieces | None" = None) -> "SnapshotSending":
-        """A transfer that is to begin, or to go on after what the follower holds of the same index.
+    def create(cls, snapshot: Snapshot, held: "PartialSnapshot | None" = None) -> "SnapshotSender":
+        """Start a transfer, or resume it after the bytes that the follower holds of the same index.
 
-        Where these are bytes of another snapshot the follower drops them, and its answer says so.
+        If these bytes belong to another snapshot, the follower drops them and reports this in its reply.
         """
-        begun = held is not None and held.index == snapshot.index and held.received < len(snapshot.state)
-        return cls(snapshot, crc32(snapshot.state), held.received if begun else 0)
+        can_resume = (
+            held is not None and held.index == snapshot.index and held.received_bytes < len(snapshot.state)
+        )
+        return cls(snapshot, crc32(snapshot.state), held.received_bytes if can_resume else 0)
 
-    def fill(self, message: pb.InstallSnapshot) -> None:
-        """Put the next piece into a message."""
+    def fill_chunk(self, message: pb.InstallSnapshot) -> None:
+        """Write the next chunk into a message."""
         message.index, message.term = self.snapshot.index, self.snapshot.term
         message.membership.CopyFrom(self.snapshot.membership)
         message.offset, message.size = self.offset, len(self.snapshot.state)
         message.checksum = self.checksum
-        message.state = self.snapshot.state[self.offset : self.offset + PIECE_BYTES]
+        message.state = self.snapshot.state[self.offset : self.offset + CHUNK_BYTES]
 
-    def answered(self, reply: pb.AppendReply) -> bool:
-        """Take the follower's answer; whether it was one to this transfer."""
+    def handle_reply(self, reply: pb.AppendReply) -> bool:
+        """Continue after the bytes that the follower holds; return whether the reply is to this transfer."""
         if reply.snapshot_index != self.snapshot.index:
             return False
         self.offset = min(reply.snapshot_received, len(self.snapshot.state))
         return True
 
 
-class SnapshotReceiving:
-    """The follower's side: the pieces of at most one snapshot."""
+class SnapshotReceiver:
+    """The follower's side: the chunks received of at most one snapshot."""
 
     def __init__(self):
         self._key: tuple[int, int, int, int] | None = None
         self._state = bytearray()
 
-    def take(self, message: pb.InstallSnapshot) -> Snapshot | None:
-        """Take a piece; return the snapshot once it is whole and its checksum is right."""
+    def receive_chunk(self, message: pb.InstallSnapshot) -> Snapshot | None:
+        """Add a chunk; return the snapshot once it is complete and its checksum is correct."""
         key = (message.index, message.term, message.size, message.checksum)
         if key != self._key:
             self._key, self._state = key, bytearray()
         if message.offset != len(self._state):
-            return None  # sent twice, or after a loss: the answer tells where to go on
+            return None  # a duplicate, or a chunk was lost before it; the reply states where to resume
         self._state += message.state
         if len(self._state) < message.size:
             return None
         state = bytes(self._state)
-        self.forget()
+        self.reset()
         if crc32(state) != message.checksum or len(state) != message.size:
             return None
         membership = pb.Membership()
         membership.CopyFrom(message.membership)
         return Snapshot(message.index, message.term, membership, state)
 
-    def forget(self) -> None:
-        """Drop all pieces."""
+    def reset(self) -> None:
+        """Drop all chunks."""
         self._key, self._state = None, bytearray()
 
-    def tell(self, reply: pb.AppendReply) -> None:
-        """Say in an answer what is here, if anything is."""
+    def report_partial(self, reply: pb.AppendReply) -> None:
+        """Add to a reply what has been received of a snapshot, if anything."""
         if self._key is not None and self._state:
             reply.snapshot_index, reply.snapshot_received = self._key[0], len(self._state)
 
     @property
-    def received(self) -> int:
-        """Bytes of the present transfer that are here."""
+    def received_bytes(self) -> int:
+        """Return the number of bytes received in the current transfer."""
         return len(self._state)
--- a/molespur/system/control_plane/calls.py
+++ b/molespur/system/control_plane/calls.py
@@ -51,7 +51,7 @@
     ):
         self.host, self.peers, self.clock, self.schedulers = host, peers, clock, schedulers
         self.liveness = {
-            name: WorkerLiveness(host.groups[name].machine, interval_ms) for name in WORKER_GROUPS
+            name: WorkerLiveness(host.groups[name].state_machine, interval_ms) for name in WORKER_GROUPS
         }
 
     # -- Workers -----------------------------------------------------------------------------------
@@ -63,15 +63,15 @@
 
     async def remove(self, worker_id: str) -> None:
         """Deregister a worker.  Raises FleetError."""
-        names = [n for n in WORKER_GROUPS if worker_id in self.host.groups[n].machine.workers]
+        names = [n for n in WORKER_GROUPS if worker_id in self.host.groups[n].state_machine.workers]
         worker = pb.Worker(id=worker_id, state=pb.GONE, deregistered=True)
         for name in names or WORKER_GROUPS:
             await self._call_owner(name, REMOVE_WORKER, worker)
 
     async def _call_owner(self, name: str, method: str, worker: pb.Worker) -> str:
-        if self.host.leads(name):
+        if self.host.is_leader(name):
             await self._apply_as_owner(name, method, worker)
-            return self.host.self_member.control_address
+            return self.host.local_member.control_address
         leader = self.host.leader(name)
         if leader is None:
             raise FleetError(ErrorKind.NO_LEADER, name)
@@ -85,7 +85,7 @@
         if not self.host.has_lease(name):
             raise FleetError(ErrorKind.NO_LEADER, name)
         if method == REMOVE_WORKER:
-            directory = self.host.groups[name].machine
+            directory = self.host.groups[name].state_machine
             if worker.id in directory.workers or worker.id not in directory.removed:
                 await self.host.propose(name, pb.WorkerCommand(workers=[worker]).SerializeToString())
             return
@@ -110,7 +110,7 @@
             return self._known_schedulers().SerializeToString()
         if call.subject not in self.host.groups:
             raise FleetError(ErrorKind.MALFORMED, call.subject)
-        if not self.host.leads(call.subject):
+        if not self.host.is_leader(call.subject):
             raise FleetError(ErrorKind.NO_LEADER, call.subject)
         if call.method == IS_LEADER:
             self._check_in_touch(call.subject)
@@ -126,7 +126,7 @@
     def _known_schedulers(self) -> pb.SchedulerList:
         """The schedulers that this process knows, each with its configuration version."""
         known = pb.SchedulerList(schedulers=self.schedulers.recent_schedulers(self.clock()))
-        known.configuration_version = self.host.groups[CONFIGURATION].machine.version
+        known.configuration_version = self.host.groups[CONFIGURATION].state_machine.version
         return known
 
     async def read_barrier(self, name: str) -> int:
@@ -134,7 +134,7 @@
 
         Raises FleetError if no leader confirms an index.
         """
-        if self.host.leads(name):
+        if self.host.is_leader(name):
             return await self._confirmed_index(name)
         leader = self.host.leader(name)
         if leader is None:
@@ -176,7 +176,7 @@
         """Put a configuration in force; this process must own the configuration shard.  Raises FleetError."""
         parsed = configuration.parse(body)
         digest = hashlib.sha256(b"%d\n" % base_version + body).digest()[:16]
-        machine = self.host.groups[CONFIGURATION].machine
+        machine = self.host.groups[CONFIGURATION].state_machine
         command = pb.PutConfiguration(
             version=parsed.version, base_version=base_version, digest=digest, body=body
         )
@@ -199,7 +199,7 @@
         That process must first confirm that it leads and can commit: an operator that is redirected to an
         unresponsive process would wait until its own timeout.  Raises FleetError if no process confirms.
         """
-        if self.host.leads(CONFIGURATION):
+        if self.host.is_leader(CONFIGURATION):
             return None
         leader = self.host.leader(CONFIGURATION)
         if leader is None:
@@ -211,7 +211,7 @@
 
     def _check_in_touch(self, name: str) -> None:
         """Raises FleetError(NO_LEADER) if this process can't commit in a group."""
-        if not self.host.in_touch(name):
+        if not self.host.has_quorum_contact(name):
             raise FleetError(ErrorKind.NO_LEADER, name)
 
 
--- a/molespur/system/control_plane/figures.py
+++ b/molespur/system/control_plane/figures.py
@@ -25,7 +25,7 @@
     workers = Counter(
         (worker.service, pb.WorkerState.Name(worker.state).lower())
         for name in WORKER_GROUPS
-        for worker in host.groups[name].machine.workers.values()
+        for worker in host.groups[name].state_machine.workers.values()
     )
     return [
         _by_shard(host, "shard_leader", "1 where this process leads the shard.",
@@ -36,16 +36,16 @@
         _by_shard(host, "shard_applied_index", "Last entry that is part of the state here.",
                   lambda group: group.replica.log.applied_index),
         _by_shard(host, "shard_named_commit_index", "Last committed entry that a leader has named here.",
-                  lambda group: group.replica.named_commit_index),
+                  lambda group: group.replica.leader_commit_index),
         _by_shard(host, "shard_unsynced_entries", "Entries of the log that are not on this disk yet.",
                   lambda group: group.replica.log.last_index - group.replica.log.durable_index),
         _by_shard(host, "shard_voters", "Voting members.", lambda group: len(group.replica.voters())),
         _by_shard(host, "shard_leader_silence_ms", "Time since the leader was heard of, ms.",
-                  lambda group: min(group.replica.leader_silence(now), 1e9)),
+                  lambda group: min(group.replica.ms_since_leader_contact(now), 1e9)),
         _by_shard(host, "shard_state_age_ms", "Time since which the state here may lack something, ms.",
-                  lambda group: min(group.replica.state_age(now), 1e9)),
+                  lambda group: min(group.replica.state_age_ms(now), 1e9)),
         gauge("configuration_version", "Newest version that is known here; 0 before the first.",
-              host.groups[CONFIGURATION].machine.version),
+              host.groups[CONFIGURATION].state_machine.version),
         Metric("workers", MetricKind.GAUGE, "Workers by service and state.", ("service", "state"),
                dict(workers)),
         gauge("schedulers", "Schedulers heard of lately by any monitor.", len(schedulers.alive(now))),
--- a/molespur/system/control_plane/orders.py
+++ b/molespur/system/control_plane/orders.py
@@ -74,7 +74,7 @@
             # read while leadership is certain: a later term belongs to another owner
             token = self.host.groups[group].replica.hard_state.term
             services: dict[str, list[pb.Worker]] = {}
-            for worker in self.host.groups[group].machine.workers.values():
+            for worker in self.host.groups[group].state_machine.workers.values():
                 if worker.phase:
                     services.setdefault(worker.service, []).append(worker)
             for service, workers in services.items():
@@ -175,7 +175,7 @@
 
     def _switch_s(self, service: str) -> float:
         """The time that a worker of a service needs to change its phase, from the configuration."""
-        body = self.host.groups[CONFIGURATION].machine.body
+        body = self.host.groups[CONFIGURATION].state_machine.body
         try:
             services = configuration.parse(body).services
         except FleetError:
--- a/molespur/system/control_plane/role.py
+++ b/molespur/system/control_plane/role.py
@@ -14,7 +14,7 @@
 from ..rpc.channel import Channel
 from ..rpc.peer_calls import PeerCalls
 from ..settings.process import ProcessSettings
-from ..shards.configuration import ConfigurationMachine
+from ..shards.configuration import ConfigurationStateMachine
 from ..shards.host import ReplicaHost
 from ..shards.placement import CONFIGURATION, WORKER_GROUPS
 from ..signals import SettingsWatch, imported, unexpected_end, until_stop, wait_for_stop
@@ -40,7 +40,7 @@
     def __init__(self, settings: ProcessSettings):
         self.settings = settings
         store = Store(settings.data_directory or "/tmp/molespur-control")
-        machines = {CONFIGURATION: ConfigurationMachine()}
+        machines = {CONFIGURATION: ConfigurationStateMachine()}
         machines.update({name: WorkerDirectory() for name in WORKER_GROUPS})
         self.host = ReplicaHost(settings, store, machines, clock, Random())
         self.peer_calls = PeerCalls(self.host.dialers.get)
@@ -54,7 +54,7 @@
         self.announcements = AnnouncementSchedule()
         self.host.on_change = self.feed.changed
         self.host.on_restore = self.feed.restored
-        self.host.on_role = self._role_changed
+        self.host.on_role_change = self._role_changed
         self.host.on_frame = self._handle_frame
         self._tasks: set[asyncio.Task] = set()
 
@@ -70,7 +70,7 @@
         watch = SettingsWatch(self.host.reseed)
         ended = asyncio.Event()
         background = (self.host.run(), self._run_periodic_work(), watch.run())
-        self.host.start(DiskWriter(self.host.store, self.host.written))
+        self.host.set_writer(DiskWriter(self.host.store, self.host.handle_written))
         listener = await loop.create_server(self._accept, self.settings.local_ip, self.settings.rpc_port)
         http_stop = asyncio.Event()
         http = loop.create_task(self._serve(http_stop))
@@ -105,7 +105,7 @@
         self.feed.channel_closed(channel)
 
     def _role_changed(self, group: str) -> None:
-        if self.host.leads(group):
+        if self.host.is_leader(group):
             self.calls.became_owner(group)
             self.orders.became_owner(group)
 
@@ -114,7 +114,7 @@
             case "consensus":
                 self.host.receive(frame.consensus)
             case "join":
-                self.host.membership.join_requested(frame.join)
+                self.host.membership.handle_join_request(frame.join)
             case "subscribe":
                 channel.label = frame.subscribe.node
                 self.feed.subscribe(channel, frame.subscribe)
@@ -134,11 +134,11 @@
             case "ping":
                 channel.send(pb.Frame(pong=self.feed.pong(channel, frame.ping)))
             case "leave_request":
-                reply = self.host.membership.leave_requested(frame.leave_request)
+                reply = self.host.membership.handle_leave_request(frame.leave_request)
                 if reply.groups:
                     channel.send(pb.Frame(leave_reply=reply))
             case "leave_reply":
-                self.host.leaving.answered(frame.leave_reply)
+                self.host.leaving.handle_leave_reply(frame.leave_reply)
 
     def _send_feed_heartbeat(self) -> None:
         now = clock()
@@ -149,7 +149,7 @@
             self._send_feed_heartbeat()
             return
         report = pb.MonitorReport(alive=self.schedulers.next_report(now))
-        self.host.tell_all(pb.Frame(monitor_report=report))
+        self.host.broadcast(pb.Frame(monitor_report=report))
 
     async def _run_periodic_work(self) -> None:
         """Announcements, pending followers of the feed, checks of worker heartbeats, orders to workers."""
--- a/molespur/system/feed/budget.py
+++ b/molespur/system/feed/budget.py
@@ -14,14 +14,14 @@
 
 from dataclasses import dataclass
 
-from ..consensus.timing import HEARTBEAT_MS
+from ..consensus.timing import HEARTBEAT_INTERVAL_MS
 
 CHECK_INTERVAL_MS = 200.0  # interval at which a scheduler pings its source and checks the age of its state
 UNREACHABLE_TIMEOUT_MS = 300.0  # a source without an open channel is left after this time
 CATCH_UP_MS = 150.0
 TICK_MS = 50.0  # interval of the consensus timers of a control-plane process
 ROUND_TRIP_MS = 10.0
-NORMAL_AGE_MS = 2 * (HEARTBEAT_MS + TICK_MS) + CHECK_INTERVAL_MS + 2 * ROUND_TRIP_MS
+NORMAL_AGE_MS = 2 * (HEARTBEAT_INTERVAL_MS + TICK_MS) + CHECK_INTERVAL_MS + 2 * ROUND_TRIP_MS
 LEAVE_AGE_SHARE = 0.4  # share of the bound: the age at which a source is left
 MAX_REFUSAL_AGE_SHARE = 0.9  # share of the bound: up to this age a request may be refused permanently
 MIN_LEAVE_AGE_MS = 1.2 * NORMAL_AGE_MS  # a healthy source is not left, however short the bound
--- a/tests/system/control.py
+++ b/tests/system/control.py
@@ -11,7 +11,7 @@
 from molespur.system.membership.schedulers import SchedulerMonitor
 from molespur.system.rpc.peer_calls import PeerCalls
 from molespur.system.settings.process import ProcessSettings
-from molespur.system.shards.configuration import ConfigurationMachine
+from molespur.system.shards.configuration import ConfigurationStateMachine
 from molespur.system.shards.host import ReplicaHost
 from molespur.system.shards.placement import CONFIGURATION, WORKER_GROUPS
 from molespur.system.storage.store import Store
@@ -37,7 +37,7 @@
 
     def write(self, group, record):
         self.host.store.write([(group, record)])
-        self.host.written(group, record)
+        self.host.handle_written(group, record)
 
     def stop(self):
         pass
@@ -61,14 +61,14 @@
             listen={"ControlPlane": "10.0.0.1:80"},
             bootstrap=self.bootstrap,
         )
-        machines = {CONFIGURATION: ConfigurationMachine()}
+        machines = {CONFIGURATION: ConfigurationStateMachine()}
         machines.update({name: WorkerDirectory() for name in WORKER_GROUPS})
         self.host = ReplicaHost(settings, Store(self.folder), machines, lambda: self.now, Random(1))
-        self.host.start(InlineWriter(self.host))
+        self.host.set_writer(InlineWriter(self.host))
         self.calls = ControlCalls(
             self.host, PeerCalls(self.host.dialers.get), lambda: self.now, 1000.0, SchedulerMonitor()
         )
-        self.host.on_role = lambda group: self.host.leads(group) and self.calls.became_owner(group)
+        self.host.on_role_change = lambda group: self.host.is_leader(group) and self.calls.became_owner(group)
         self.client = create_app(self.calls, self.metrics).test_client()
         self.changes = []  # (group, index, payload) of all changes since the start
         self.host.on_change = lambda group, index, payload: self.changes.append((group, index, payload))
@@ -103,7 +103,7 @@
         until = self.now + ms
         while self.now < until:
             self.now += 50.0
-            self.host.step()
+            self.host.tick()
 
     def lose_power(self):
         """End the process abruptly and restart it on its disk."""
--- a/tests/system/features/steps/control_steps.py
+++ b/tests/system/features/steps/control_steps.py
@@ -118,7 +118,7 @@
 
 def known_state(context, worker):
     for group in WORKER_GROUPS:
-        record = context.plane.host.groups[group].machine.workers.get(worker)
+        record = context.plane.host.groups[group].state_machine.workers.get(worker)
         if record is not None:
             return STATE_NAMES[record.state]
     return "unknown"
--- a/tests/system/operator_history.py
+++ b/tests/system/operator_history.py
@@ -25,7 +25,7 @@
 
 from molespur.system.consensus import replica as raft
 from molespur.system.rpc import molespur_pb2 as pb
-from molespur.system.shards.configuration import ConfigurationMachine, PutOutcome
+from molespur.system.shards.configuration import ConfigurationStateMachine, PutOutcome
 
 PROPOSAL_TIMEOUT_MS = 850.0
 RETRY_MS = 120.0
@@ -36,7 +36,7 @@
 class ConfigurationReplica:
     """The configuration state machine with the interface of `virtual_group`: `apply` returns the outcome."""
 
-    def __init__(self, machine=ConfigurationMachine):
+    def __init__(self, machine=ConfigurationStateMachine):
         self._machine = machine()
 
     def apply(self, data):
@@ -64,9 +64,9 @@
 class Operators:
     """Runs one history."""
 
-    def __init__(self, seed, machine=ConfigurationMachine):
+    def __init__(self, seed, machine=ConfigurationStateMachine):
         self.random = Random(seed)
-        self.group = VirtualGroup(seed, loss=0.02, machine=lambda: ConfigurationReplica(machine))
+        self.group = VirtualGroup(seed, loss=0.02, state_machine=lambda: ConfigurationReplica(machine))
         self.history: list[Put | Get] = []
         self.counts: Counter = Counter()  # events by kind
         self.changes: list[Change] = []
@@ -147,13 +147,15 @@
                 proposed.term,
                 lambda outcome: self._completed(put, outcome, lost),
             )
-        self.group.at(RETRY_MS if not proposed else PROPOSAL_TIMEOUT_MS, self._attempt, put, attempts + 1)
+        self.group.schedule(
+            RETRY_MS if not proposed else PROPOSAL_TIMEOUT_MS, self._attempt, put, attempts + 1
+        )
 
     def _completed(self, put, outcome, lost):
         if lost:
             self.counts["response lost"] += 1
         elif put.result is PutResult.UNKNOWN:
-            accepted = outcome is PutOutcome.TAKEN
+            accepted = outcome is PutOutcome.ACCEPTED
             put.result, put.end = (PutResult.ACCEPTED if accepted else PutResult.REFUSED), self.group.now
             self.counts["accepted" if accepted else "refused"] += 1
             if accepted:
@@ -180,7 +182,7 @@
         if process.address in self.group.frozen:
             return
         process.on_read[number] = lambda: self.history.append(
-            Get(process.machine.current, start, self.group.now)
+            Get(process.state_machine.current, start, self.group.now)
         )
         process.handle(raft.Read(number))
 
@@ -193,7 +195,7 @@
         self.group.run(self.random.choice((0, 2, 6, 15)))  # between a proposal and its response
         if kind == "cut":
             self.group.isolate(one)
-            self.group.at(self.random.choice((400, 2500)), self.group.heal)
+            self.group.schedule(self.random.choice((400, 2500)), self.group.heal)
             return
         if kind == "freeze":
             self.group.freeze(one, self.random.choice((300, 900, 2500)))
@@ -202,12 +204,12 @@
             if address not in self.group.down:
                 self.group.kill(address)
                 restart = self.group.wipe if kind == "wipe" and not self._may_not_wipe(one) else self._restart
-                self.group.at(self.random.choice((200, 1500)), restart, address)
+                self.group.schedule(self.random.choice((200, 1500)), restart, address)
 
     def _may_not_wipe(self, address):
         """Whether no disk may be lost now: another process is down, or a disk was wiped recently."""
         recent = self.group.now - getattr(self, "_wiped_at", -1e9) < 6000
-        if not recent and not self.group.down - {address} and not self.group.cut:
+        if not recent and not self.group.down - {address} and not self.group.cut_links:
             self._wiped_at = self.group.now
             return False
         return True
@@ -217,7 +219,7 @@
             self.group.restart(address)
 
 
-def play(seed, machine=ConfigurationMachine, rounds=5):
+def play(seed, machine=ConfigurationStateMachine, rounds=5):
     """Run one history; return (whether it is linearizable, the number of events by kind)."""
     operators = Operators(seed, machine)
     history = operators.run(rounds)
--- a/tests/system/test_feed.py
+++ b/tests/system/test_feed.py
@@ -90,8 +90,8 @@
 def test_a_source_without_a_leader_starts_no_follower(plane):
     plane.put(BODY % 1, 0)
     plane.lose_power()
-    plane.host.groups[CONFIGURATION].replica._follow("")
-    plane.host.groups[CONFIGURATION].replica.leader_heard_at = plane.now - 60_000.0
+    plane.host.groups[CONFIGURATION].replica._become_follower("")
+    plane.host.groups[CONFIGURATION].replica.leader_contact_at_ms = plane.now - 60_000.0
     source, channel = source_of(plane), FakeChannel()
     plane.subscribe(source, channel, pb.Subscribe(node="edge-1"))
     assert channel.updates() == []
@@ -345,7 +345,7 @@
     source, channel = source_of(plane), FakeChannel()
     plane.subscribe(source, channel, pb.Subscribe(node="edge-1"))
     replica = plane.host.groups[CONFIGURATION].replica
-    replica._follow("")
+    replica._become_follower("")
     before = pong_of(plane, source, channel).configuration_age_ms
     plane.now += 500.0
     assert pong_of(plane, source, channel).configuration_age_ms == before + 500
--- a/tests/system/test_feed_history.py
+++ b/tests/system/test_feed_history.py
@@ -11,7 +11,7 @@
 import pytest
 from control import OneControlPlane
 
-from molespur.system.shards.history import MOST_BYTES, MOST_CHANGES, ChangeHistory
+from molespur.system.shards.history import MAX_BYTES, MAX_CHANGES, ChangeHistory
 
 MAX_MEMORY_BYTES = 12 << 20  # for the history, the log and everything else that the changes allocate
 
@@ -50,7 +50,7 @@
 
 def test_the_history_returns_the_changes_after_an_index_or_none_if_they_are_not_kept():
     history = ChangeHistory()
-    history.restart(10)
+    history.reset(10)
     for index in range(11, 15):
         history.append(index, b"%d" % index)
     assert list(history.after(12)) == [(13, b"13"), (14, b"14")]
@@ -60,16 +60,16 @@
 
 def test_the_oldest_changes_are_dropped_by_number_and_by_bytes():
     history = ChangeHistory()
-    for index in range(1, MOST_CHANGES + 3):
+    for index in range(1, MAX_CHANGES + 3):
         history.append(index, b"x")
-    assert history.after(1) is None and len(list(history.after(2))) == MOST_CHANGES
-    history.append(1000, b"x" * MOST_BYTES)
+    assert history.after(1) is None and len(list(history.after(2))) == MAX_CHANGES
+    history.append(1000, b"x" * MAX_BYTES)
     assert [index for index, _ in history.after(999)] == [1000]
-    assert history.after(MOST_CHANGES + 1) is None, "a change above the bound is kept alone"
+    assert history.after(MAX_CHANGES + 1) is None, "a change above the bound is kept alone"
 
 
 def test_changes_before_a_snapshot_are_dropped():
     history = ChangeHistory()
     history.append(1, b"x")
-    history.restart(5)
+    history.reset(5)
     assert history.after(4) is None and list(history.after(5)) == []
--- a/tests/system/test_freshness_budget.py
+++ b/tests/system/test_freshness_budget.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from molespur.system.consensus.timing import ELECTION_MS
+from molespur.system.consensus.timing import MAX_ELECTION_TIMEOUT_MS
 from molespur.system.feed.budget import NORMAL_AGE_MS, FreshnessBudget
 
 WORST_CASE_MS = 1600.0  # for a bound of 2,000 ms, as in the deployments
@@ -25,4 +25,4 @@
 def test_an_election_is_shorter_than_the_refusal_age():
     """Without a leader nothing is acknowledged: the state ages, but does not become wrong."""
     budget = FreshnessBudget(2000.0)
-    assert ELECTION_MS[1] < budget.max_refusal_age_ms
+    assert budget.max_refusal_age_ms > MAX_ELECTION_TIMEOUT_MS
--- a/tests/system/test_liveness_contact.py
+++ b/tests/system/test_liveness_contact.py
@@ -92,7 +92,9 @@
     del plane.host.has_lease
     plane.now += 900.0
     plane.check_heartbeats()
-    states = [w.state for name in WORKER_GROUPS for w in plane.host.groups[name].machine.workers.values()]
+    states = [
+        w.state for name in WORKER_GROUPS for w in plane.host.groups[name].state_machine.workers.values()
+    ]
     assert states == [pb.READY]
 
 
--- a/tests/system/test_operator_histories.py
+++ b/tests/system/test_operator_histories.py
@@ -7,7 +7,7 @@
 from operator_history import play
 
 from molespur.system.rpc import molespur_pb2 as pb
-from molespur.system.shards.configuration import ConfigurationMachine, PutOutcome
+from molespur.system.shards.configuration import ConfigurationStateMachine, PutOutcome
 
 HISTORIES, BATCHES = 200, 4
 REQUIRED_EVENTS = (
@@ -37,23 +37,23 @@
 # -- The checker detects faulty state machines --------------------------------------------------------
 
 
-class ForgetsAccepted(ConfigurationMachine):
+class ForgetsAccepted(ConfigurationStateMachine):
     """Forgets which changes were accepted."""
 
     def apply(self, data):
-        self.taken.clear()
+        self.accepted_digests.clear()
         return super().apply(data)
 
 
-class ForgetsRefused(ConfigurationMachine):
+class ForgetsRefused(ConfigurationStateMachine):
     """Forgets which changes were refused."""
 
     def apply(self, data):
-        self.refused.clear()
+        self.refused_bases.clear()
         return super().apply(data)
 
 
-class IgnoresBaseVersion(ConfigurationMachine):
+class IgnoresBaseVersion(ConfigurationStateMachine):
     """Accepts a change based on any version."""
 
     def apply(self, data):
@@ -62,20 +62,20 @@
         return super().apply(command.SerializeToString())
 
 
-class LosesDigestsOnRestore(ConfigurationMachine):
+class LosesDigestsOnRestore(ConfigurationStateMachine):
     """Loses the digests when a snapshot is restored."""
 
     def restore(self, data):
         super().restore(data)
-        self.taken.clear()
+        self.accepted_digests.clear()
 
 
-class AcknowledgesRefused(ConfigurationMachine):
+class AcknowledgesRefused(ConfigurationStateMachine):
     """Reports refused changes as accepted."""
 
     def apply(self, data):
         _, payload = super().apply(data)
-        return PutOutcome.TAKEN, payload
+        return PutOutcome.ACCEPTED, payload
 
 
 @pytest.mark.parametrize(
--- a/tests/system/test_orders.py
+++ b/tests/system/test_orders.py
@@ -58,7 +58,7 @@
 
 
 def register(plane, address):
-    directory = plane.host.groups[GROUP].machine
+    directory = plane.host.groups[GROUP].state_machine
     workers = [
         pb.Worker(id=f"w-{n}", service=SERVICE, address=address, zone="a", phase="decode", capacity=64)
         for n in range(6)
@@ -256,6 +256,6 @@
 
     call = pb.Call(id=1, method=IS_LEADER, subject=CONFIGURATION)
     plane.loop.run_until_complete(plane.calls.reply_to(FakeChannel(), call))
-    plane.host.in_touch = lambda _name: False
+    plane.host.has_quorum_contact = lambda _name: False
     plane.loop.run_until_complete(plane.calls.reply_to(FakeChannel(), call))
     assert FakeChannel.sent == [200, 503]
--- a/tests/system/test_redirects.py
+++ b/tests/system/test_redirects.py
@@ -81,7 +81,7 @@
 
         def has_new_leader():
             leader = fleet.leader()
-            return leader not in (old_leader, None) and fleet.processes[leader].plane.host.in_touch(
+            return leader not in (old_leader, None) and fleet.processes[leader].plane.host.has_quorum_contact(
                 CONFIGURATION
             )
 
--- a/tests/system/virtual_fleet.py
+++ b/tests/system/virtual_fleet.py
@@ -18,7 +18,7 @@
 from molespur.system.settings.process import FaultTolerance, ProcessSettings
 from molespur.system.shards import host
 from molespur.system.shards.placement import CONFIGURATION
-from molespur.system.storage.store import Loaded
+from molespur.system.storage.store import StoredGroup
 
 SYNC_S = 0.02
 DISK_RETRY_S = 0.2
@@ -67,7 +67,7 @@
     def load(self, group):
         state, snapshot, entries = self.groups.get(group, (empty_state()[0], empty_state()[1], {}))
         kept = [entries[index] for index in sorted(entries) if index > snapshot.index]
-        return Loaded(type(state)(state.term, state.vote), snapshot, kept)
+        return StoredGroup(type(state)(state.term, state.vote), snapshot, kept)
 
     def write(self, records):
         for group, record in records:
@@ -130,7 +130,7 @@
         if self.pending:
             self._start_batch()
         for group, record in batch:
-            self.process.plane.host.written(group, record)
+            self.process.plane.host.handle_written(group, record)
 
     def power_lost(self):
         """The batch in progress may have reached the disk, although its completion was not reported."""
@@ -213,7 +213,7 @@
         self.plane = role.ControlPlane(settings)
         self.plane.host.dial = self._dial
         self.writer = Writer(fleet, self)
-        self.plane.host.start(self.writer)
+        self.plane.host.set_writer(self.writer)
         self.client = create_app(self.plane.calls, self.plane.metrics).test_client()
         self._run()
 
@@ -425,7 +425,7 @@
         leading = [
             (process.plane.host.groups[group].replica.hard_state.term, address)
             for address, process in self.processes.items()
-            if process.up and not process.frozen and process.plane.host.leads(group)
+            if process.up and not process.frozen and process.plane.host.is_leader(group)
         ]
         return max(leading)[1] if leading else None
 
