--- a/molespur/logic.py
+++ b/molespur/logic.py
@@ -86,11 +86,11 @@
 
     def handle(self, now, event):
         """Take one event at time now (ms) and return the actions it calls for, in order."""
-        self.now, self.timers.now, self.out = now, now, []
+        self.now, self.timers.now, self.actions = now, now, []
         self.routes[type(event)](event)
         if (delay := self.timers.wake_up_in()) is not None:
-            self.out.append(io.SetTimer(delay, "due"))
-        return self.out
+            self.actions.append(io.SetTimer(delay, "due"))
+        return self.actions
 
     # -- Fleet view and health -------------------------------------------------------------------
 
@@ -111,12 +111,12 @@
             w.part, asked, w.part_asked = event.parts.get(w.id), w.part_asked, 0.0
             if w.part is not None:
                 _, may, sent = self._cold(w)
-                self.out.append(io.ColdUse(w.id, sent / may, asked))
+                self.actions.append(io.ColdUse(w.id, sent / may, asked))
 
     def _ask(self, turn):
         """Subscribe.  Each call is answered, and only its failure calls for the next."""
         if turn == self.asking.failures:  # guards against askings that double at each error
-            self.out.append(io.Watch())
+            self.actions.append(io.Watch())
 
     def _news(self, event):
         if event.mode is NewsMode.ERROR:
@@ -424,7 +424,7 @@
     def _give_up(self, job):
         """Final answer: a refusal where no attempt can have run or repeats are harmless, else a failure."""
         harm = job.may_have_run() and not job.state.cls.harmless  # that a repeat may do
-        self.out.append(io.Fail(job.id) if harm else io.Refuse(job.id, self.s.pause_ms))
+        self.actions.append(io.Fail(job.id) if harm else io.Refuse(job.id, self.s.pause_ms))
         job.state.in_time -= CLASS_GAIN * job.state.in_time
         self._close(job)
 
@@ -464,7 +464,7 @@
         if w.born and self.now - w.born < self.s.cold_ms:
             w.budget.add(self.now, self._work(job))
             w.lump_from, w.lump_part = self.now, 1.0
-        self.out.append(io.Send(job.id, w.id, 0.0, begin_by))
+        self.actions.append(io.Send(job.id, w.id, 0.0, begin_by))
 
     def _still_out(self, event):
         """The attempt that the event tells of, unless it is unknown or has ended."""
@@ -487,7 +487,7 @@
     def _cancel(self, attempt):
         if self.s.may_cancel and not attempt.cancelled and attempt.outcome is None:
             attempt.cancelled = True
-            self.out.append(io.Cancel(attempt.job.id, attempt.number))
+            self.actions.append(io.Cancel(attempt.job.id, attempt.number))
 
     def _ended(self, event):
         if (attempt := self._still_out(event)) is None:
@@ -597,7 +597,7 @@
 
     def _probe(self, w):
         w.probed = self.now
-        self.out.append(io.Probe(w.id))
+        self.actions.append(io.Probe(w.id))
 
     def _probe_next(self):
         """Probe the worker longest unprobed, as often as the price is worth."""
--- a/molespur/net/host.py
+++ b/molespur/net/host.py
@@ -142,7 +142,7 @@
             # guards against one bad event taking the scheduler, and so all other streams, down
             log.exception("module.failed", on=repr(event))
             self.counters["module.exceptions"] += 1
-            actions, failed = list(self.dispatcher.out), True  # it has booked these as done
+            actions, failed = list(self.dispatcher.actions), True  # it has booked these as done
         for action in actions:
             self._carry[type(action)](action)
         stream = self.streams.get(getattr(event, "request", None))
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -367,7 +367,7 @@
         return []
 
     def break_once(self, now, event):
-        self.dispatcher.handle, self.dispatcher.out = self.whole, []
+        self.dispatcher.handle, self.dispatcher.actions = self.whole, []
         raise RuntimeError("broken by the scenario")
 
 
