--- a/molespur/logic.py
+++ b/molespur/logic.py
@@ -187,14 +187,14 @@
 
     def _strike(self, w):
         """Rest a failing worker; guards against the black hole that a fast failure makes."""
-        if w.eject_until <= self.now:
+        if w.ejected_until <= self.now:
             w.strikes = min(w.strikes + 1, MAX_STRIKES)
-            w.eject_until = self.now + EJECT_MS * 2 ** (w.strikes - 1) * (0.8 + 0.4 * self.rng.random())
+            w.ejected_until = self.now + EJECT_MS * 2 ** (w.strikes - 1) * (0.8 + 0.4 * self.rng.random())
             w.probation = True
 
     def avoided(self, now):
         """The listed workers that get nothing new now; none where too many would be."""
-        resting = {w.id for w in self.live if w.eject_until > now}
+        resting = {w.id for w in self.live if w.ejected_until > now}
         return resting if len(resting) <= (1 - PANIC_SHARE) * len(self.live) else set()
 
     # -- Forecast --------------------------------------------------------------------------------
@@ -264,7 +264,7 @@
         """The design's choice among some workers: (worker, sample, meets, forecast), or None without any."""
         now, run, ask = self.now, job.run, job.ask
         # not resting, and on probation with one more job of ours there at most
-        healthy = [w for w in pool if w.eject_until <= now and (not w.probation or w.own <= 1)]
+        healthy = [w for w in pool if w.ejected_until <= now and (not w.probation or w.own <= 1)]
         if len(healthy) < PANIC_SHARE * len(pool):
             healthy = pool  # guards against ejecting the whole fleet for a fault that is not its own
         unsafe, left = job.state.cls.effect is not Effect.SAFE, job.aim_at - now
@@ -338,7 +338,7 @@
 
     def _asks_first(self, job):
         """Whether it waits for what a few workers say, which one of many dispatchers meets too seldom."""
-        few = [w for w in self._pool(job)[: self.subset] if self.s.may_probe and w.eject_until <= self.now]
+        few = [w for w in self._pool(job)[: self.subset] if self.s.may_probe and w.ejected_until <= self.now]
         wait = HOLD_SHARE * min(self.turn, job.aim_at - self.now, job.deadline - self.now)
         if few and self.many and self.shared.probes is None and min(wait, job.allowed - SAID_MS) > 0:
             job.asked = {w: self._probe(w) for w in self.rng.sample(few, min(ASK_FIRST, len(few)))}
@@ -517,7 +517,7 @@
             w.lag, w.lag_at = max(now - attempt.due, 0.0) if self.many else 0.0, now
             w.room += ROOM_REGAINED
             w.full_until, w.fulls = 0.0, max(w.fulls - 1, 0)  # one of its slots has just come free
-            w.probation = w.probation and attempt.sent <= w.eject_until
+            w.probation = w.probation and attempt.sent <= w.ejected_until
             w.strikes = max(0, w.strikes - 0.25 * (not w.probation))
             ran = now - attempt.began if attempt.began is not None else elapsed
             longer = 0.0 if job.hinted else ran / w.base - job.run
--- a/molespur/records.py
+++ b/molespur/records.py
@@ -33,7 +33,7 @@
         self.pace = 0.0  # log of observed over forecast run time
         self.full_until, self.fulls = 0.0, 0
         self.room = float("inf")  # slots over its own that it was seen to take, until it answers full
-        self.strikes, self.eject_until, self.probation, self.faults, self.mute = 0, 0.0, False, 0.0, 0
+        self.strikes, self.ejected_until, self.probation, self.faults, self.mute = 0, 0.0, False, 0.0, 0
         self.budget = SlidingSum()  # work sent while cold
         self.lump_from, self.lump_part = None, 1.0  # since when a large job waits, and its part
         self.part, self.part_asked = None, 0.0  # of its budget while cold: what is ours, what jobs asked for
--- a/tests/operations/test_figures.py
+++ b/tests/operations/test_figures.py
@@ -156,15 +156,15 @@
             world.told("active", "active", "active", "leaving")
             assert world.cluster.known_and_skipped() == (4, 1)
             workers = world.dispatcher.workers
-            workers["w1"].eject_until = world.cluster.clock.now() + 1000
+            workers["w1"].ejected_until = world.cluster.clock.now() + 1000
             assert world.cluster.known_and_skipped() == (4, 2)
             # with more than half resting none is avoided
-            workers["w2"].eject_until = workers["w3"].eject_until = workers["w1"].eject_until
+            workers["w2"].ejected_until = workers["w3"].ejected_until = workers["w1"].ejected_until
             assert world.cluster.known_and_skipped() == (4, 1)
-            workers["w2"].eject_until = workers["w3"].eject_until = 0.0
+            workers["w2"].ejected_until = workers["w3"].ejected_until = 0.0
             world.told("left", mode=NewsMode.PARTIAL)
             assert world.cluster.known_and_skipped() == (3, 1)
-            workers["w2"].eject_until = world.cluster.clock.now() - 1
+            workers["w2"].ejected_until = world.cluster.clock.now() - 1
             assert world.cluster.known_and_skipped() == (3, 1)
             nursery.cancel_scope.cancel()
 
