--- a/molespur/logic.py
+++ b/molespur/logic.py
@@ -192,7 +192,7 @@
             w.ejected_until = self.now + EJECT_MS * 2 ** (w.strikes - 1) * (0.8 + 0.4 * self.rng.random())
             w.probation = True
 
-    def avoided(self, now):
+    def ejected_workers(self, now):
         """The listed workers that get nothing new now; none where too many would be."""
         resting = {w.id for w in self.live if w.ejected_until > now}
         return resting if len(resting) <= (1 - PANIC_SHARE) * len(self.live) else set()
--- a/molespur/net/cluster.py
+++ b/molespur/net/cluster.py
@@ -51,7 +51,7 @@
 
     def known_and_skipped(self) -> tuple[int, int]:
         """How many upstream hosts are listed, and how many of these get nothing now."""
-        avoided = self.host.dispatcher.avoided(self.clock.now())
+        avoided = self.host.dispatcher.ejected_workers(self.clock.now())
         skipped = [u for u, life in self.lives.items() if u in avoided or life is not Lifecycle.IN_SERVICE]
         return len(self.lives), len(skipped)
 
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -552,11 +552,11 @@
     d = make()
     news(d, entry("w0"), entry("w1"), entry("w2"))
     d.handle(5.0, io.SharedNews(bad=frozenset({"w1", "unknown"})))
-    assert d.avoided(6.0) == {"w1"} and d.workers["w1"].probation
+    assert d.ejected_workers(6.0) == {"w1"} and d.workers["w1"].probation
     d.handle(7.0, io.SharedNews(bad=frozenset({"w1"})))
     assert d.workers["w1"].strikes == 1, "told again while it rests: no further strike"
     d.handle(8.0, io.SharedNews(bad=frozenset({"w0", "w1", "w2"})))
-    assert d.avoided(9.0) == set(), "too many would be: none is"
+    assert d.ejected_workers(9.0) == set(), "too many would be: none is"
 
 
 @pytest.mark.parametrize("outcome", [Outcome.MOOT, Outcome.RESET])
