--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -9,7 +9,7 @@
 from collections import Counter
 from pathlib import Path
 
-from molespur.interface import FleetNews, JobClass, NewsMode, Settings, Started
+from molespur.interface import FleetUpdate, JobClass, Settings, Started, UpdateMode
 from molespur.logic import Dispatcher
 from molespur.standins.fleet import STEP_MS, Discovery, drive
 
@@ -38,7 +38,7 @@
     )
     fleet = [Dispatcher(settings, seed) for seed in range(many)]
     discovery = Discovery(each_ms, patience_ms=2000.0, most=20)
-    first = [(who, Started() if event == "start" else FleetNews(NewsMode.ERROR)) for who in range(many)]
+    first = [(who, Started() if event == "start" else FleetUpdate(UpdateMode.ERROR)) for who in range(many)]
     if event == "away":
         discovery.down(0.0, AWAY_MS)
     reached = {}
--- a/benchmarks/fleet_state.py
+++ b/benchmarks/fleet_state.py
@@ -33,7 +33,7 @@
 from molespur.fleet.escrow import Escrow
 from molespur.fleet.sharing import Ask, Kind, Share, TicketAsk, Wish, tickets_for
 from molespur.fleet.tickets import Witness, to_bits
-from molespur.interface import FleetNews, JobClass, NewsMode, Outcome, WorkerEntry
+from molespur.interface import FleetUpdate, JobClass, Outcome, UpdateMode, WorkerEntry
 from molespur.standins.fleet_load import FleetLoad, FleetWorker
 from molespur.standins.members import SETTINGS, Members, ask
 from molespur.standins.virtual_state import Spender, VirtualState
@@ -132,7 +132,7 @@
         for i, one in enumerate(self.made):
             self.state.start(i, (0, 1))
             one.handle(0.0, io.Started())
-            one.handle(0.0, FleetNews(NewsMode.COMPLETE, entries))
+            one.handle(0.0, FleetUpdate(UpdateMode.COMPLETE, entries))
         self.state.run(10_000)
         self.due, self.number = [], 0  # (when, scheduler, request, attempt, outcome, worker)
         self.failed, self.last_fail, self.wrong = 0, 0.0, set()
--- a/benchmarks/registry.py
+++ b/benchmarks/registry.py
@@ -259,17 +259,17 @@
 def module_cost(workers: int) -> dict:
     """What one change costs the decision module itself, which the telling is paced by."""
     from molespur import Dispatcher
-    from molespur.interface import FleetNews, NewsMode, Started, WorkerEntry
+    from molespur.interface import FleetUpdate, Started, UpdateMode, WorkerEntry
     from molespur.standins.jobs import SETTINGS
 
     dispatcher = Dispatcher(config.read_settings(SETTINGS)[0], 1)
     dispatcher.handle(0.0, Started())
     entries = tuple(WorkerEntry(f"w{n}", f"z{n % 3}", "k") for n in range(workers))
-    dispatcher.handle(0.0, FleetNews(NewsMode.COMPLETE, entries))
+    dispatcher.handle(0.0, FleetUpdate(UpdateMode.COMPLETE, entries))
     costs = []
     for n in range(20):
         began = time.perf_counter()
-        dispatcher.handle(1.0 + n, FleetNews(NewsMode.PARTIAL, entries[n % workers : n % workers + 1]))
+        dispatcher.handle(1.0 + n, FleetUpdate(UpdateMode.PARTIAL, entries[n % workers : n % workers + 1]))
         costs.append((time.perf_counter() - began) * 1000)
     return {"workers": workers, "module_ms_a_telling": float(np.median(costs))}
 
--- a/molespur/benchlink.py
+++ b/molespur/benchlink.py
@@ -9,9 +9,8 @@
     Cancel,
     ClientGone,
     Fail,
-    FleetNews,
+    FleetUpdate,
     Lifecycle,
-    NewsMode,
     Outcome,
     Probe,
     ProbeEnded,
@@ -23,6 +22,7 @@
     StreamBegun,
     Submitted,
     TimerFired,
+    UpdateMode,
     Watch,
     WorkerEntry,
 )
@@ -100,10 +100,10 @@
         return ProbeEnded(worker, outcome_from(tag, ending), waited, report_from(stats))
     if tag == "BACKENDS_CHANGED":
         try:
-            mode = NewsMode(values[1].lower())
+            mode = UpdateMode(values[1].lower())
         except ValueError:
             raise WireError(f"BACKENDS_CHANGED: unknown mode {values[1]!r}") from None
-        return FleetNews(mode, tuple(entry_from(row) for row in values[2] or ()))
+        return FleetUpdate(mode, tuple(entry_from(row) for row in values[2] or ()))
     if tag == "TIMED_OUT_CLIENT":
         return ClientGone(values[0])
     if tag == "BEGUN":
--- a/molespur/interface.py
+++ b/molespur/interface.py
@@ -42,7 +42,7 @@
 """The only outcomes that prove an attempt had no effect."""
 
 
-class NewsMode(Enum):
+class UpdateMode(Enum):
     """What a piece of fleet news holds."""
 
     PARTIAL = "partial"
@@ -207,10 +207,10 @@
 
 
 @dataclass(slots=True)
-class FleetNews:
+class FleetUpdate:
     """Discovery's list or changes to it."""
 
-    mode: NewsMode
+    mode: UpdateMode
     entries: tuple[WorkerEntry, ...] = ()
 
 
@@ -370,6 +370,6 @@
     worker: str
 
 
-Event = Started | Retuned | FleetNews | Submitted | StreamBegun | Progressed | AttemptEnded | ClientGone
+Event = Started | Retuned | FleetUpdate | Submitted | StreamBegun | Progressed | AttemptEnded | ClientGone
 Event |= TimerFired | ProbeEnded | SharedNews
 Action = Send | Cancel | Refuse | Fail | SetTimer | Watch | Probe | ColdUse
--- a/molespur/logic.py
+++ b/molespur/logic.py
@@ -11,7 +11,7 @@
 
 from . import interface as io
 from .discovery_retry import DiscoveryRetry
-from .interface import Effect, Lifecycle, NewsMode, Outcome
+from .interface import Effect, Lifecycle, Outcome, UpdateMode
 from .load_report import LoadReport
 from .policy.model import FinishTimeModel
 from .policy.placement import draw, meeting, warm_first
@@ -68,7 +68,7 @@
         self.shared = io.SharedNews()
         self.routes = {
             io.Submitted: self._submitted, io.AttemptEnded: self._ended, io.Progressed: self._progressed,
-            io.TimerFired: self.timers.fired, io.FleetNews: self._news, io.ClientGone: self._client_gone,
+            io.TimerFired: self.timers.fired, io.FleetUpdate: self._news, io.ClientGone: self._client_gone,
             io.ProbeEnded: self._probe_ended, io.StreamBegun: self._begun, io.Started: self._started,
             io.Retuned: self._retuned, io.SharedNews: self._shared,
         }  # fmt: skip
@@ -119,13 +119,13 @@
             self.actions.append(io.Watch())
 
     def _news(self, event):
-        if event.mode is NewsMode.ERROR:
+        if event.mode is UpdateMode.ERROR:
             # guards against a fleet that asks in step, or so fast that discovery answers no call in time
             self.timers.after(self.asking.failed(), self._ask, self.asking.failures)
             return
-        if event.mode is not NewsMode.PERSISTED:
+        if event.mode is not UpdateMode.PERSISTED:
             self.asking.succeeded()
-        for worker in () if event.mode is NewsMode.PARTIAL else self.workers.values():
+        for worker in () if event.mode is UpdateMode.PARTIAL else self.workers.values():
             worker.list_ok = False
         for entry in event.entries:
             worker = self.workers.get(entry.worker)
--- a/molespur/net/cluster.py
+++ b/molespur/net/cluster.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 from ..config import ConfigError, parse_address, worker_entry
-from ..interface import FleetNews, Lifecycle, NewsMode, WorkerEntry
+from ..interface import FleetUpdate, Lifecycle, UpdateMode, WorkerEntry
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,16 +61,16 @@
             placed = [Placed.from_target(target, self.clock.from_unix) for target in self.known.targets]
         except ConfigError as problem:
             raise ConfigError(f"LB_CONFIG: known: {problem}") from None
-        self.take(placed, NewsMode.PERSISTED)
+        self.take(placed, UpdateMode.PERSISTED)
         self.source.start()
 
     def watch(self) -> None:
         """The decision module asks for changes from now on."""
         self.source.watch()
 
-    def take(self, placed: Sequence[Placed], mode: NewsMode) -> None:
+    def take(self, placed: Sequence[Placed], mode: UpdateMode) -> None:
         """Take a list or changes in, and tell the module."""
-        if mode is not NewsMode.PARTIAL:
+        if mode is not UpdateMode.PARTIAL:
             for uid in self.lives.keys() - {p.entry.worker for p in placed}:
                 del self.lives[uid], self.placed[uid]
                 self.upstream.drop(uid)
@@ -91,9 +91,9 @@
                 wanted = entry.lifecycle is Lifecycle.IN_SERVICE
                 self.upstream.place(entry.worker, one.address, entry.born_ms, wanted)
 
-    def tell(self, entries: tuple[WorkerEntry, ...], mode: NewsMode = NewsMode.PARTIAL) -> None:
+    def tell(self, entries: tuple[WorkerEntry, ...], mode: UpdateMode = UpdateMode.PARTIAL) -> None:
         """Tell the module of entries that are already noted."""
-        self.host.deliver(FleetNews(mode, entries))
+        self.host.deliver(FleetUpdate(mode, entries))
 
     def unchanged(self) -> None:
         """Nothing has changed since the list we hold: that, too, answers the module's Watch."""
@@ -101,4 +101,4 @@
 
     def lost(self) -> None:
         """The source has lost its watch; the module asks again by itself."""
-        self.host.deliver(FleetNews(NewsMode.ERROR))
+        self.host.deliver(FleetUpdate(UpdateMode.ERROR))
--- a/molespur/net/discovery.py
+++ b/molespur/net/discovery.py
@@ -8,7 +8,7 @@
 
 from .. import logs
 from ..config import ConfigError, Target
-from ..interface import NewsMode
+from ..interface import UpdateMode
 from .asking import CALL_MS, SILENCE_MS, Asking
 from .cluster import Placed
 from .upstream import BREAKS, dial_tcp
@@ -89,7 +89,7 @@
         self.rev = told.rev
         if told.all and faulty:
             placed += self._as_held(faulty, {one.entry.worker for one in placed})
-        self.cluster.take(placed, NewsMode.COMPLETE if told.all else NewsMode.PARTIAL)
+        self.cluster.take(placed, UpdateMode.COMPLETE if told.all else UpdateMode.PARTIAL)
 
     def _as_held(self, faulty: list[msgspec.Raw], named: set[str]) -> list[Placed]:
         """The workers that a whole list may mean by its faulty entries, as they are held.
--- a/molespur/standins/fleet.py
+++ b/molespur/standins/fleet.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable
 
 from .. import interface as io
-from ..interface import NewsMode
+from ..interface import UpdateMode
 from ..logic import Dispatcher
 
 STEP_MS = 5.0
@@ -61,13 +61,13 @@
             self._free_at = max(self._free_at, now) + self.each_ms
             if who is not None:
                 self.watching.add(who)
-                self._told.append((who, io.FleetNews(NewsMode.PARTIAL)))
+                self._told.append((who, io.FleetUpdate(UpdateMode.PARTIAL)))
         told, self._told = self._told, []
         return told
 
     def _fail(self, who: int) -> None:
         self.failed += 1
-        self._told.append((who, io.FleetNews(NewsMode.ERROR)))
+        self._told.append((who, io.FleetUpdate(UpdateMode.ERROR)))
 
 
 def drive(
--- a/molespur/standins/virtual_site.py
+++ b/molespur/standins/virtual_site.py
@@ -15,7 +15,7 @@
 from ..fleet import shared
 from ..fleet.sharing import Share
 from ..fleet.shedding import Load
-from ..interface import FleetNews, JobClass, NewsMode, Outcome, Settings, WorkerEntry
+from ..interface import FleetUpdate, JobClass, Outcome, Settings, UpdateMode, WorkerEntry
 from ..logic import Dispatcher
 from .virtual_state import VirtualState
 
@@ -88,7 +88,7 @@
         entries = tuple(WorkerEntry(name) for name in self.workers)
         for i, one in enumerate(self.schedulers):
             self.act(i, one.handle(0.0, io.Started()))
-            self.act(i, one.handle(0.0, FleetNews(NewsMode.COMPLETE, entries)))
+            self.act(i, one.handle(0.0, FleetUpdate(UpdateMode.COMPLETE, entries)))
         self._arrivals()
 
     @property
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -2,7 +2,7 @@
 
 from molespur import Dispatcher, Settings
 from molespur import interface as io
-from molespur.interface import Effect, Group, JobClass, Lifecycle, NewsMode, Outcome
+from molespur.interface import Effect, Group, JobClass, Lifecycle, Outcome, UpdateMode
 
 SAFE = JobClass("safe", aim_ms=500, deadline_ms=5000, aim_stretch=2)
 UNSAFE = JobClass("unsafe", aim_ms=500, deadline_ms=5000, effect=Effect.UNSAFE, priority=1, worth=5)
@@ -27,8 +27,8 @@
     return io.WorkerEntry(name, zone, kind, cell, life, power, born)
 
 
-def news(dispatcher, *entries, now=1.0, mode=NewsMode.COMPLETE):
-    return dispatcher.handle(now, io.FleetNews(mode, entries))
+def news(dispatcher, *entries, now=1.0, mode=UpdateMode.COMPLETE):
+    return dispatcher.handle(now, io.FleetUpdate(mode, entries))
 
 
 def submit(dispatcher, request, name="safe", now=2.0, left=5000.0, **more):
--- a/tests/operations/test_figures.py
+++ b/tests/operations/test_figures.py
@@ -11,7 +11,7 @@
 from trio.testing import MockClock, memory_stream_pair, wait_all_tasks_blocked
 
 from molespur.config import ClusterList
-from molespur.interface import NewsMode
+from molespur.interface import UpdateMode
 from molespur.net.cluster import Placed
 from molespur.operations.figures import Gauges, figures
 
@@ -27,7 +27,7 @@
         self.downstream.resize(60, 60, 200_000)
         self.host.max_streams = 12
 
-    def told(self, *states, mode=NewsMode.COMPLETE):
+    def told(self, *states, mode=UpdateMode.COMPLETE):
         """The list, or changes to it: w1, w2, .. in these states."""
         targets = [target(f"w{n}") | {"state": state} for n, state in enumerate(states, 1)]
         known = msgspec.convert({"rev": 1, "all": True, "targets": targets}, ClusterList)
@@ -162,7 +162,7 @@
             workers["w2"].ejected_until = workers["w3"].ejected_until = workers["w1"].ejected_until
             assert world.cluster.known_and_skipped() == (4, 1)
             workers["w2"].ejected_until = workers["w3"].ejected_until = 0.0
-            world.told("left", mode=NewsMode.PARTIAL)
+            world.told("left", mode=UpdateMode.PARTIAL)
             assert world.cluster.known_and_skipped() == (3, 1)
             workers["w2"].ejected_until = world.cluster.clock.now() - 1
             assert world.cluster.known_and_skipped() == (3, 1)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,7 +5,7 @@
 
 from molespur import Dispatcher
 from molespur import interface as io
-from molespur.interface import Lifecycle, NewsMode, Outcome
+from molespur.interface import Lifecycle, Outcome, UpdateMode
 from molespur.records import Job
 from molespur.standins.fleet import Discovery, drive
 
@@ -17,7 +17,7 @@
     settings = make(subscribes=True, must_ask_in_ms=10000.0, balancers=MANY).s
     fleet = [Dispatcher(settings, n) for n in range(MANY)]
     discovery = Discovery(each_ms=150.0, patience_ms=2000.0, most=20)
-    first = io.Started() if event == "started" else io.FleetNews(NewsMode.ERROR)
+    first = io.Started() if event == "started" else io.FleetUpdate(UpdateMode.ERROR)
     if event == "away":
         discovery.down(0.0, 5000.0)
     drive(fleet, discovery, 30000.0, [(who, first) for who in range(MANY)])
@@ -30,7 +30,7 @@
     settings = make(subscribes=True, must_ask_in_ms=10000.0, balancers=150).s
     fleet = [Dispatcher(settings, n) for n in range(150)]
     discovery = Discovery(each_ms=150.0, patience_ms=2000.0, most=20)
-    drive(fleet, discovery, 10000.0, [(who, io.FleetNews(NewsMode.ERROR)) for who in range(150)])
+    drive(fleet, discovery, 10000.0, [(who, io.FleetUpdate(UpdateMode.ERROR)) for who in range(150)])
     assert len(discovery.first) == 150 and max(discovery.first.values()) < 9000.0
 
 
@@ -63,7 +63,7 @@
 
 def test_a_call_to_discovery_is_not_thrown_away_for_the_next():
     d = make(subscribes=True, must_ask_in_ms=10000.0, balancers=MANY)
-    d.handle(0.0, io.FleetNews(NewsMode.ERROR))
+    d.handle(0.0, io.FleetUpdate(UpdateMode.ERROR))
     calls, now = [], 0.0
     while not calls or now < calls[0] + 5000.0:
         now += 5.0
@@ -120,7 +120,7 @@
     d, asked, _ = asked_first()
     for n, worker in enumerate(asked[:5]):
         say(d, 3.0 + 2 * n, worker, n == 0)
-    d.handle(14.0, io.FleetNews(NewsMode.PARTIAL, (entry(asked[0], life=Lifecycle.DRAINING),)))
+    d.handle(14.0, io.FleetUpdate(UpdateMode.PARTIAL, (entry(asked[0], life=Lifecycle.DRAINING),)))
     out = say(d, 15.0, asked[5], False)
     assert [send.worker not in asked for send in of(out, io.Send)] == [True]
 
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -280,7 +280,7 @@
 
 def test_watch_is_asked_for_again_after_an_error():
     d = make(subscribes=True, must_ask_in_ms=4000.0)
-    d.handle(5.0, io.FleetNews(io.NewsMode.ERROR))
+    d.handle(5.0, io.FleetUpdate(io.UpdateMode.ERROR))
     asked, now = 0, 5.0
     while now < 4000:
         now += 50
@@ -450,7 +450,7 @@
             homes.setdefault(key, Counter()).update(chosen)
     assert all(seen.most_common(1)[0][1] >= 21 for seen in homes.values())
     assert len({seen.most_common(1)[0][0] for seen in homes.values()}) == 8
-    d.handle(3.0, io.FleetNews(io.NewsMode.PARTIAL, (entry("w1", life=io.Lifecycle.GONE),)))
+    d.handle(3.0, io.FleetUpdate(io.UpdateMode.PARTIAL, (entry("w1", life=io.Lifecycle.GONE),)))
     assert not any("w1" in d.homes[k] for k in range(40) if d._match(d.workers["w0"], k) >= 0)
 
 
@@ -513,12 +513,12 @@
 def test_asking_for_the_watch_does_not_double_at_each_error():
     """Guards against a discovery that is down being asked so often that each asking cuts off the last."""
     d, now, asked = make(subscribes=True, must_ask_in_ms=10000.0), 0.0, 1
-    news(d, now=now, mode=io.NewsMode.ERROR)
+    news(d, now=now, mode=io.UpdateMode.ERROR)
     for _ in range(600):
         now += 50.0
         for _ in of(d.handle(now, io.TimerFired("due")), io.Watch):
             asked += 1
-            news(d, now=now, mode=io.NewsMode.ERROR)
+            news(d, now=now, mode=io.UpdateMode.ERROR)
     assert 5 <= asked <= 24  # 30 s: waits of up to 0.2 s, which doubles up to 5 s
 
 
--- a/tests/test_random_events.py
+++ b/tests/test_random_events.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from molespur import interface as io
-from molespur.interface import NEVER_RAN, Effect, Group, Lifecycle, NewsMode, Outcome
+from molespur.interface import NEVER_RAN, Effect, Group, Lifecycle, Outcome, UpdateMode
 
 BY_NAME = {c.name: c for c in CLASSES}
 
@@ -131,7 +131,7 @@
             self.cold_sent.pop(name, None)
         new = entry(name, zone="ab"[int(name[1]) % 2], cell=int(name[1]) % 3, life=life, born=born)
         self.fleet[name] = new
-        self.act(self.d.handle(self.now, io.FleetNews(NewsMode.PARTIAL, (new,))))
+        self.act(self.d.handle(self.now, io.FleetUpdate(UpdateMode.PARTIAL, (new,))))
 
 
 @settings(derandomize=True, deadline=None, max_examples=12)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,7 +6,7 @@
 from helpers import KEYED, end, entry, make, news, of, submit
 
 from molespur import interface as io
-from molespur.interface import NEVER_RAN, Group, Lifecycle, NewsMode, Outcome
+from molespur.interface import NEVER_RAN, Group, Lifecycle, Outcome, UpdateMode
 from molespur.records import Job
 
 FAILURES = [o for o in Outcome if o is not Outcome.OK]
@@ -81,7 +81,7 @@
 def test_nothing_new_to_a_draining_worker(life):
     d = make()
     news(d, entry("w1"), entry("w2"))
-    news(d, entry("w1", life=life), now=5.0, mode=NewsMode.PARTIAL)
+    news(d, entry("w1", life=life), now=5.0, mode=UpdateMode.PARTIAL)
     for n in range(20):
         assert {a.worker for a in of(submit(d, n, now=10.0 + n), io.Send)} <= {"w2"}
 
--- a/tests/test_stream_machine.py
+++ b/tests/test_stream_machine.py
@@ -9,7 +9,7 @@
 
 from molespur import Dispatcher, Settings
 from molespur import interface as io
-from molespur.interface import Lifecycle, NewsMode
+from molespur.interface import Lifecycle, UpdateMode
 from molespur.lifecycle import Process, Told
 from molespur.net.counters import Counters
 from molespur.net.failure import Cause, Failure, Served, Stage
@@ -114,7 +114,7 @@
         self.host.connect(self.upstream, self)
         self.host.deliver(io.Started())
         entries = tuple(entry(name) for name in self.lives)
-        self.host.deliver(io.FleetNews(NewsMode.COMPLETE, entries))
+        self.host.deliver(io.FleetUpdate(UpdateMode.COMPLETE, entries))
 
     # the cluster, as the host asks it
     def lifecycle(self, worker):
@@ -168,7 +168,7 @@
     @rule(worker=st.sampled_from(["w0", "w1", "w2"]), life=st.sampled_from(list(Lifecycle)))
     def tell(self, worker, life):
         self.lives[worker] = life
-        self.host.deliver(io.FleetNews(NewsMode.PARTIAL, (entry(worker, life=life),)))
+        self.host.deliver(io.FleetUpdate(UpdateMode.PARTIAL, (entry(worker, life=life),)))
 
     @rule(classes=st.sets(st.sampled_from(range(len(CLASSES))), min_size=1), attempts=st.integers(1, 4))
     def reload(self, classes, attempts):
