--- a/molespur/fleet/uses.py
+++ b/molespur/fleet/uses.py
@@ -12,7 +12,7 @@
 
 import xxhash
 
-from ..interface import ColdUse, Outcome, ProbeEnded, SharedNews
+from ..interface import ColdUsage, Outcome, ProbeEnded, SharedState
 from ..net.counters import Counters
 from ..net.failure import Served
 from .concurrency import Gradient
@@ -84,7 +84,7 @@
         self.machine: Shared | None = None
         self.names = [c.name for c in host.settings.classes]  # as shares of load shed are told, by number
         self._cold: dict[str, tuple[float, bool]] = {}  # worker -> its part as sent, and sent to since then
-        self._told = SharedNews()
+        self._told = SharedState()
         self._counted: dict[str, int] = {}
         self._loads: Counter = Counter()  # (class, what became of its jobs)
         self._limits: dict[str, Gradient] = {}  # by worker, where connections are shared
@@ -147,7 +147,7 @@
         self.host.fresh_until = now + self.fresh_ms
         watched = machine.watching.watched if machine.watching is not None else None
         shed = dict(zip(self.names, machine.shed(now), strict=False))
-        news = SharedNews(parts, frozenset(machine.bad(now)), self._retries(now), watched, shed)
+        news = SharedState(parts, frozenset(machine.bad(now)), self._retries(now), watched, shed)
         if parts or news != self._told:
             self._told = news
             self._cold = {uid: part for uid, part in self._cold.items() if uid in parts}
@@ -174,7 +174,7 @@
 
     # -- The program's hooks -------------------------------------------------------------------------
 
-    def _cold_use(self, use: ColdUse) -> None:
+    def _cold_use(self, use: ColdUsage) -> None:
         self._cold[use.worker] = (use.sent, False)
         if use.asked > self._told.parts.get(use.worker, 0.0):
             self.machine.escrow.deny(f"{COLD}/{use.worker}", self.clock.now())
--- a/molespur/interface.py
+++ b/molespur/interface.py
@@ -215,7 +215,7 @@
 
 
 @dataclass(slots=True)
-class SharedNews:
+class SharedState:
     """What the schedulers share, as of now; stands until the next.
 
     `parts`: for each cold worker whose budget is shared, which part of all that it may be sent this
@@ -354,8 +354,8 @@
 
 
 @dataclass(slots=True)
-class ColdUse:
-    """Answers `SharedNews` for one cold worker: which part of all that it may be sent in a window this
+class ColdUsage:
+    """Answers `SharedState` for one cold worker: which part of all that it may be sent in a window this
     dispatcher has sent lately, and up to which part its jobs have asked for since the last answer."""
 
     worker: str
@@ -371,5 +371,5 @@
 
 
 Event = Started | Retuned | FleetUpdate | Submitted | StreamBegun | Progressed | AttemptEnded | ClientGone
-Event |= TimerFired | ProbeEnded | SharedNews
-Action = Send | Cancel | Refuse | Fail | SetTimer | Watch | Probe | ColdUse
+Event |= TimerFired | ProbeEnded | SharedState
+Action = Send | Cancel | Refuse | Fail | SetTimer | Watch | Probe | ColdUsage
--- a/molespur/logic.py
+++ b/molespur/logic.py
@@ -65,12 +65,12 @@
         # how often each key was asked for lately; needed kind -> (mean runs of headroom, worth of late jobs)
         self.heat, self.heat_all, self.margins = {}, 0.0, {}
         self.arrivals, self.born, self.served_at, self.reported = 0, 0.0, 0.0, False
-        self.shared = io.SharedNews()
+        self.shared = io.SharedState()
         self.routes = {
             io.Submitted: self._submitted, io.AttemptEnded: self._ended, io.Progressed: self._progressed,
             io.TimerFired: self.timers.fired, io.FleetUpdate: self._news, io.ClientGone: self._client_gone,
             io.ProbeEnded: self._probe_ended, io.StreamBegun: self._begun, io.Started: self._started,
-            io.Retuned: self._retuned, io.SharedNews: self._shared,
+            io.Retuned: self._retuned, io.SharedState: self._shared,
         }  # fmt: skip
 
     def _retuned(self, event):
@@ -111,7 +111,7 @@
             w.part, asked, w.part_asked = event.parts.get(w.id), w.part_asked, 0.0
             if w.part is not None:
                 _, may, sent = self._cold(w)
-                self.actions.append(io.ColdUse(w.id, sent / may, asked))
+                self.actions.append(io.ColdUsage(w.id, sent / may, asked))
 
     def _ask(self, turn):
         """Subscribe.  Each call is answered, and only its failure calls for the next."""
--- a/molespur/net/host.py
+++ b/molespur/net/host.py
@@ -87,13 +87,13 @@
         self.probed: Callable[[str, dict[str, float]], None] | None = None
         self.draw: Callable[[str], float] | None = None  # of a job's name, from 0 to 1
         self.pause: Callable[[float], float] | None = None  # what a refused client is told
-        self.cold_use: Callable[[io.ColdUse], None] | None = None
+        self.cold_use: Callable[[io.ColdUsage], None] | None = None
         self.freshen: Callable[[], None] | None = None
         self.fresh_until = float("inf")  # what the schedulers share is to be looked at anew from then on
         self._carry = {
             io.Send: self._send, io.Cancel: self._cancel, io.Refuse: self._refuse, io.Fail: self._fail,
             io.SetTimer: self._set_timer, io.Watch: self._watch, io.Probe: self._probe,
-            io.ColdUse: lambda action: self.cold_use(action),
+            io.ColdUsage: lambda action: self.cold_use(action),
         }  # fmt: skip
 
     def connect(self, upstream, cluster) -> None:
--- a/molespur/standins/virtual_site.py
+++ b/molespur/standins/virtual_site.py
@@ -289,7 +289,7 @@
                     self.tell(i, self.news(i, one, self.state.clock(i)))
         self.at(self.now + self.STEP_MS, self._step)
 
-    def news(self, i: int, one: shared.Shared, now: float) -> io.SharedNews:
+    def news(self, i: int, one: shared.Shared, now: float) -> io.SharedState:
         """What scheduler i's shared state tells its module."""
         retries = float("inf")
         if one.retries is not None:
@@ -298,7 +298,7 @@
                 one.retries.deny()
             self.failing[i] = False
         names = [c.name for c in self.settings.classes]
-        return io.SharedNews(
+        return io.SharedState(
             bad=frozenset(one.bad(now)), retries=retries,
             probes=one.watching.watched if one.watching is not None else None,
             shed=dict(zip(names, one.shed(now), strict=False)),
