--- a/benchmarks/fleet_state.py
+++ b/benchmarks/fleet_state.py
@@ -177,7 +177,7 @@
                 for i, one in enumerate(self.made):
                     bad = self.state.shared[i].bad(self.state.clock(i))
                     self.wrong |= bad - self.BAD
-                    self.act(i, now, one.handle(now, io.SharedState(bad=frozenset(bad))))
+                    self.act(i, now, one.handle(now, io.SharedState(bad_workers=frozenset(bad))))
         return self
 
 
--- a/molespur/fleet/uses.py
+++ b/molespur/fleet/uses.py
@@ -113,7 +113,7 @@
             return float(self.upstream.open_to(worker))
         part, sent_since = self._cold.get(worker, (0.0, False))
         # guards against lending what has just been sent: until the module tells anew, all of ours counts
-        return max(part, self._told.parts.get(worker, 0.0)) if sent_since else part
+        return max(part, self._told.cold_shares.get(worker, 0.0)) if sent_since else part
 
     def loads(self) -> list[Load]:
         """What became of each class's jobs since the last time."""
@@ -175,13 +175,13 @@
     # -- The program's hooks -------------------------------------------------------------------------
 
     def _cold_use(self, use: ColdUsage) -> None:
-        self._cold[use.worker] = (use.sent, False)
-        if use.asked > self._told.parts.get(use.worker, 0.0):
+        self._cold[use.worker] = (use.sent_share, False)
+        if use.requested_share > self._told.cold_shares.get(use.worker, 0.0):
             self.machine.escrow.deny(f"{COLD}/{use.worker}", self.clock.now())
 
     def _sending(self, worker: str, retry: bool) -> None:
         now, retries = self.clock.now(), self.machine.retries
-        if worker in self._told.parts:
+        if worker in self._told.cold_shares:
             self._cold[worker] = (self._cold.get(worker, (0.0, False))[0], True)
         if retries is not None and retry:
             retries.spend(now)
@@ -233,7 +233,7 @@
         if isinstance(answer, Served):
             aim = cls.aim_ms + cls.aim_stretch * (arrival.work_hint_ms or 0.0) if cls else 0.0
             self._loads[name, "good" if took_ms <= LATE * aim else "late"] += 1
-        elif not stream.attempts and stream.draw < self._told.shed.get(name, 0.0):
+        elif not stream.attempts and stream.draw < self._told.shed_shares.get(name, 0.0):
             self._loads[name, "shed"] += 1
             self.counters[f"fleet.shed.{name}"] += 1
         else:
--- a/molespur/interface.py
+++ b/molespur/interface.py
@@ -216,24 +216,24 @@
 
 @dataclass(slots=True)
 class SharedState:
-    """What the schedulers share, as of now; stands until the next.
+    """State that the schedulers share, which holds until the next event of this type.
 
-    `parts`: for each cold worker whose budget is shared, which part of all that it may be sent this
-    dispatcher may send (0 to 1).  `bad`: workers that the evidence of several schedulers speaks against.
-    `retries`: second and further attempts that may be sent until the next news (counted down in place).
-    `probes`: the workers that this dispatcher probes, None: as it likes.  `shed`: the part of each class's
-    jobs that all turn away, those of the lowest draw.
+    `cold_shares`: for each cold worker whose budget is shared, the part of it for this dispatcher (0 to 1).
+    `bad_workers`: those against which several schedulers have evidence.
+    `retries_left`: second and further attempts that may be sent until the next event (counted down in place).
+    `probe_workers`: those that this dispatcher has to probe; None: its own subset.
+    `shed_shares`: by class, the part of its jobs that all schedulers refuse, those of the lowest draw.
     """
 
-    parts: dict[str, float] = field(default_factory=dict)
-    bad: frozenset[str] = frozenset()
-    retries: float = float("inf")
-    probes: frozenset[str] | None = None
-    shed: dict[str, float] = field(default_factory=dict)
+    cold_shares: dict[str, float] = field(default_factory=dict)
+    bad_workers: frozenset[str] = frozenset()
+    retries_left: float = float("inf")
+    probe_workers: frozenset[str] | None = None
+    shed_shares: dict[str, float] = field(default_factory=dict)
 
     def sheds(self, submitted) -> bool:
         """Whether all schedulers turn this job away."""
-        return submitted.draw < self.shed.get(submitted.job_class, 0.0)
+        return submitted.draw < self.shed_shares.get(submitted.job_class, 0.0)
 
 
 @dataclass(slots=True)
@@ -359,8 +359,8 @@
     dispatcher has sent lately, and up to which part its jobs have asked for since the last answer."""
 
     worker: str
-    sent: float
-    asked: float
+    sent_share: float
+    requested_share: float
 
 
 @dataclass(slots=True)
--- a/molespur/logic.py
+++ b/molespur/logic.py
@@ -106,9 +106,9 @@
         """What dispatchers share: cold budgets, workers bad for all, retries, probes, jobs to turn away."""
         self.shared = event
         for w in self.live:
-            if w.id in event.bad:
+            if w.id in event.bad_workers:
                 self._strike(w)
-            w.part, asked, w.part_asked = event.parts.get(w.id), w.part_asked, 0.0
+            w.part, asked, w.part_asked = event.cold_shares.get(w.id), w.part_asked, 0.0
             if w.part is not None:
                 _, may, sent = self._cold(w)
                 self.actions.append(io.ColdUsage(w.id, sent / may, asked))
@@ -340,7 +340,7 @@
         """Whether it waits for what a few workers say, which one of many dispatchers meets too seldom."""
         few = [w for w in self._pool(job)[: self.subset] if self.s.may_probe and w.ejected_until <= self.now]
         wait = HOLD_SHARE * min(self.turn, job.aim_at - self.now, job.deadline - self.now)
-        if few and self.many and self.shared.probes is None and min(wait, job.allowed - SAID_MS) > 0:
+        if few and self.many and self.shared.probe_workers is None and min(wait, job.allowed - SAID_MS) > 0:
             job.asked = {w: self._probe(w) for w in self.rng.sample(few, min(ASK_FIRST, len(few)))}
             job.not_before += wait
             self.timers.after(wait, self._try_send, job)
@@ -441,7 +441,7 @@
     def _may_send(self, job):
         """Whether the rules allow a further attempt of this job at all."""
         late = job.deadline - self.now <= ANSWER_MARGIN_MS
-        spent = self.shared.retries < 1 and job.is_tried()  # all retries of the fleet are bounded
+        spent = self.shared.retries_left < 1 and job.is_tried()  # all retries of the fleet are bounded
         if late or spent or not job.open or job.out or len(job.attempts) >= job.most:
             return False
         # guards against a repeat that the workers have forgotten
@@ -452,7 +452,7 @@
         begin_by = job.state.cls.repeat_by(job.may_have_run()) - ANSWER_MARGIN_MS
         attempt = Attempt(job, w, sample, self.now, due)
         w.unended[attempt] = None
-        self.shared.retries -= job.is_tried()
+        self.shared.retries_left -= job.is_tried()
         job.attempts.append(attempt)
         job.out += 1
         w.heard = w.heard if w.own > 0 else self.now
@@ -601,7 +601,7 @@
 
     def _probe_next(self):
         """Probe the worker longest unprobed, as often as the price is worth."""
-        mine = self.shared.probes
+        mine = self.shared.probe_workers
         few = self.live[: self.subset] if mine is None else [w for w in self.live if w.id in mine]
         if few:
             self._probe(min(few, key=lambda v: v.probed))
--- a/molespur/standins/virtual_site.py
+++ b/molespur/standins/virtual_site.py
@@ -299,9 +299,9 @@
             self.failing[i] = False
         names = [c.name for c in self.settings.classes]
         return io.SharedState(
-            bad=frozenset(one.bad(now)), retries=retries,
-            probes=one.watching.watched if one.watching is not None else None,
-            shed=dict(zip(names, one.shed(now), strict=False)),
+            bad_workers=frozenset(one.bad(now)), retries_left=retries,
+            probe_workers=one.watching.watched if one.watching is not None else None,
+            shed_shares=dict(zip(names, one.shed(now), strict=False)),
         )  # fmt: skip
 
     def _take_loads(self, i: int) -> list[Load]:
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -544,18 +544,18 @@
     sent = cold_work(d)
     assert of_all * may - 200.0 < sent <= of_all * may + 1e-6
     (use,) = of(d.handle(40.0, io.SharedState({"new": 0.5})), io.ColdUsage)
-    assert use.worker == "new" and use.sent == pytest.approx(sent / may, rel=0.01)
-    assert use.asked > of_all - 0.01, "more was asked for than it got"
+    assert use.worker == "new" and use.sent_share == pytest.approx(sent / may, rel=0.01)
+    assert use.requested_share > of_all - 0.01, "more was asked for than it got"
 
 
 def test_a_worker_that_is_bad_for_all_rests_and_is_tried_again_with_care():
     d = make()
     news(d, entry("w0"), entry("w1"), entry("w2"))
-    d.handle(5.0, io.SharedState(bad=frozenset({"w1", "unknown"})))
+    d.handle(5.0, io.SharedState(bad_workers=frozenset({"w1", "unknown"})))
     assert d.ejected_workers(6.0) == {"w1"} and d.workers["w1"].probation
-    d.handle(7.0, io.SharedState(bad=frozenset({"w1"})))
+    d.handle(7.0, io.SharedState(bad_workers=frozenset({"w1"})))
     assert d.workers["w1"].strikes == 1, "told again while it rests: no further strike"
-    d.handle(8.0, io.SharedState(bad=frozenset({"w0", "w1", "w2"})))
+    d.handle(8.0, io.SharedState(bad_workers=frozenset({"w0", "w1", "w2"})))
     assert d.ejected_workers(9.0) == set(), "too many would be: none is"
 
 
@@ -563,7 +563,7 @@
 def test_without_retries_left_only_what_was_never_sent_goes_on(outcome):
     d = make()
     news(d, entry("w0"), entry("w1"), entry("w2"))
-    d.handle(5.0, io.SharedState(retries=0.0))
+    d.handle(5.0, io.SharedState(retries_left=0.0))
     submit(d, 7, now=10.0)
     actions = end(d, 7, outcome, 20.0)
     assert bool(of(actions, io.Send)) is (outcome is Outcome.MOOT)
