--- a/molespur/interface.py
+++ b/molespur/interface.py
@@ -200,7 +200,7 @@
 
 
 @dataclass(slots=True)
-class Retuned:
+class SettingsChanged:
     """Other settings hold from now on; open jobs keep the class and the attempts they were taken under."""
 
     settings: Settings
@@ -370,6 +370,8 @@
     worker: str
 
 
-Event = Started | Retuned | FleetUpdate | Submitted | StreamBegun | Progressed | AttemptEnded | ClientGone
+Event = (
+    Started | SettingsChanged | FleetUpdate | Submitted | StreamBegun | Progressed | AttemptEnded | ClientGone
+)
 Event |= TimerFired | ProbeEnded | SharedState
 Action = Send | Cancel | Refuse | Fail | SetTimer | Watch | Probe | ColdUsage
--- a/molespur/logic.py
+++ b/molespur/logic.py
@@ -57,7 +57,7 @@
     def __init__(self, settings, seed):
         self.rng, self.classes, self.quotas = Random(seed), {}, Quotas()
         self.asking = DiscoveryRetry(self.rng)
-        self._retuned(io.Retuned(settings))
+        self._retuned(io.SettingsChanged(settings))
         self.homes, self.workers, self.live, self.pools, self.jobs, self.held = {}, {}, [], {}, {}, []
         self.timers, self.model = TimerQueue(), FinishTimeModel()
         self.turn = sum(c.median for c in self.classes.values()) / len(self.classes)
@@ -70,7 +70,7 @@
             io.Submitted: self._submitted, io.AttemptEnded: self._ended, io.Progressed: self._progressed,
             io.TimerFired: self.timers.fired, io.FleetUpdate: self._news, io.ClientGone: self._client_gone,
             io.ProbeEnded: self._probe_ended, io.StreamBegun: self._begun, io.Started: self._started,
-            io.Retuned: self._retuned, io.SharedState: self._shared,
+            io.SettingsChanged: self._retuned, io.SharedState: self._shared,
         }  # fmt: skip
 
     def _retuned(self, event):
--- a/molespur/net/host.py
+++ b/molespur/net/host.py
@@ -110,7 +110,7 @@
         """
         if settings != self.settings:
             self._owns(settings)
-            self.deliver(io.Retuned(settings))
+            self.deliver(io.SettingsChanged(settings))
 
     # -- Events in -------------------------------------------------------------------------------
 
--- a/tests/test_change.py
+++ b/tests/test_change.py
@@ -243,7 +243,7 @@
 
 def retune(d, now=10.0, **changes):
     given = {f: getattr(d.s, f) for f in d.s.__dataclass_fields__} | changes
-    return d.handle(now, io.Retuned(Settings(**given)))
+    return d.handle(now, io.SettingsChanged(Settings(**given)))
 
 
 def test_open_jobs_keep_their_class_and_attempts():
