--- a/molespur/logic.py
+++ b/molespur/logic.py
@@ -14,7 +14,7 @@
 from .interface import Effect, Lifecycle, Outcome, UpdateMode
 from .load_report import LoadReport
 from .policy.model import FinishTimeModel
-from .policy.placement import draw, meeting, warm_first
+from .policy.placement import draw_candidate, prefer_warm, select_tier
 from .records import DEFAULT_SLOTS, KEYS_KEPT, Attempt, ClassState, Job, Worker
 from .timer_queue import TimerQueue
 from .token_bucket import Quotas
@@ -295,11 +295,11 @@
         if not found:
             return None
         if job.key is not None:  # warm workers lose their claim if a mean run slower than the best
-            found = warm_first(self.rng, found, self.turn, itemgetter(0), itemgetter(3))
-        tier, meets = meeting(self.rng, found, left, itemgetter(0), not unsafe)
+            found = prefer_warm(self.rng, found, self.turn, itemgetter(0), itemgetter(3))
+        tier, meets = select_tier(self.rng, found, left, itemgetter(0), not unsafe)
         crossing = CROSSING * self.s.cross_zone_price * job.allowed * near_free
         costs = [f[0] + crossing * (f[1].zone != self.s.zone) for f in tier]
-        time, w, wait, match, miss = draw(self.rng, tier, costs)
+        time, w, wait, match, miss = draw_candidate(self.rng, tier, costs)
         prior_run = run * w.slope / self.model.pace(w.kind)
         return w, (w.kind, prior_run, wait, miss, min(w.own / w.slots, 2.0), match), meets, time
 
--- a/molespur/policy/pair.py
+++ b/molespur/policy/pair.py
@@ -11,7 +11,7 @@
 from zlib import crc32
 
 from .model import FinishTimeModel
-from .placement import draw, meeting, warm_first
+from .placement import draw_candidate, prefer_warm, select_tier
 from .tracking import Part, WorkerTrack, rank_of
 
 PREFILL_TOKENS_PER_MS = 50.0  # prior; the model learns the true pace
@@ -134,9 +134,9 @@
             return None
         left = demand.aim_at - now
         if len(demand.parts) > 1:
-            ways = warm_first(self.random, ways, WARM_PENALTY_MS, _forecast, lambda way: way.match)
-        chosen, meets = meeting(self.random, ways, left, _forecast, demand.repeatable)
-        return Choice(draw(self.random, chosen, [way.cost for way in chosen]), meets)
+            ways = prefer_warm(self.random, ways, WARM_PENALTY_MS, _forecast, lambda way: way.match)
+        chosen, meets = select_tier(self.random, ways, left, _forecast, demand.repeatable)
+        return Choice(draw_candidate(self.random, chosen, [way.cost for way in chosen]), meets)
 
     def choose_decode(
         self,
@@ -152,7 +152,7 @@
         if not steps:
             return None
         costs = [s.forecast + self._crossing(s.worker) + _move_crossing(source, s.worker) for s in steps]
-        return draw(self.random, steps, costs)
+        return draw_candidate(self.random, steps, costs)
 
     def _usable(self, now, workers, avoid):
         known = [
--- a/molespur/policy/placement.py
+++ b/molespur/policy/placement.py
@@ -7,14 +7,14 @@
 EXPLORE, WARM_EXPLORE = 0.01, 0.02  # shares that try out the missing tier, and workers that are not warm
 
 
-def warm_first(random, found, penalty, forecast_of, match_of):
+def prefer_warm(random, found, penalty, forecast_of, match_of):
     """Only the warm candidates, unless their best trails the best of all by more than the penalty (ms)."""
     warm = [f for f in found if match_of(f) > WARM_MATCH]
     claim = warm and min(map(forecast_of, warm)) <= min(map(forecast_of, found)) + penalty
     return warm if claim and random.random() >= WARM_EXPLORE else found
 
 
-def meeting(random, found, left, forecast_of, may_explore):
+def select_tier(random, found, left, forecast_of, may_explore):
     """The candidates that meet the aim (ms left), else all; and whether any does."""
     tier = [f for f in found if forecast_of(f) <= left]
     meets, chosen = bool(tier), tier or found
@@ -23,7 +23,7 @@
     return chosen, meets
 
 
-def draw(random, found, costs):
+def draw_candidate(random, found, costs):
     """One candidate by weighted random: most headroom, which is least cost (ms), favoured."""
     top = min(costs)
     weights = [exp((top - cost) / (DRAW_SCALE * max(top, 1.0))) for cost in costs]
--- a/tests/test_dispatcher_parts.py
+++ b/tests/test_dispatcher_parts.py
@@ -28,10 +28,10 @@
 
 def test_the_dispatcher_shares_model_filter_tiers_and_draw_with_the_fleet():
     assert logic.FinishTimeModel is model.FinishTimeModel
-    assert (logic.warm_first, logic.meeting, logic.draw) == (
-        placement.warm_first,
-        placement.meeting,
-        placement.draw,
+    assert (logic.prefer_warm, logic.select_tier, logic.draw_candidate) == (
+        placement.prefer_warm,
+        placement.select_tier,
+        placement.draw_candidate,
     )
 
 
