--- a/molespur/interface.py
+++ b/molespur/interface.py
@@ -93,11 +93,11 @@
         _need(0 < self.deadline_ms < float("inf"), where + "deadline_ms", self.deadline_ms, "above 0")
 
     @property
-    def harmless(self) -> bool:
+    def repeats_are_harmless(self) -> bool:
         """A repeat does no harm, wherever it goes."""
         return self.effect is Effect.SAFE or (self.effect is Effect.KEYED and self.group is Group.ALL)
 
-    def repeat_by(self, ran) -> float:
+    def repeat_deadline(self, ran) -> float:
         """Clock time up to which a further attempt may be written, by those that may have run, oldest first.
 
         The window in which workers drop repeats runs from the first send.
@@ -106,7 +106,7 @@
             return float("inf")
         return ran[0].sent + self.key_ttl_ms if self.effect is Effect.KEYED else float("-inf")
 
-    def group_of(self, worker):
+    def dedup_group_of(self, worker):
         """What the workers that drop repeats of a job sent to this one share; None: nothing that limits."""
         if self.effect is not Effect.KEYED or self.group is Group.ALL:
             return None
--- a/molespur/logic.py
+++ b/molespur/logic.py
@@ -253,7 +253,7 @@
     def _pool(self, job):
         """Workers the job may go to: of the kind it needs, and once it may have run, of its key's group."""
         ran = job.may_have_run()
-        tied = job.state.cls.group_of(ran[0].worker) if ran else None
+        tied = job.state.cls.dedup_group_of(ran[0].worker) if ran else None
         pool = self.pools.get((job.bound, tied))
         if pool is None:
             pool = [w for w in self.live if job.bound in (None, w.kind) and tied in (None, w.zone, w.cell)]
@@ -423,7 +423,7 @@
 
     def _give_up(self, job):
         """Final answer: a refusal where no attempt can have run or repeats are harmless, else a failure."""
-        harm = job.may_have_run() and not job.state.cls.harmless  # that a repeat may do
+        harm = job.may_have_run() and not job.state.cls.repeats_are_harmless  # that a repeat may do
         self.actions.append(io.Fail(job.id) if harm else io.Refuse(job.id, self.s.pause_ms))
         job.state.in_time -= CLASS_GAIN * job.state.in_time
         self._close(job)
@@ -445,11 +445,11 @@
         if late or spent or not job.open or job.out or len(job.attempts) >= job.most:
             return False
         # guards against a repeat that the workers have forgotten
-        return self.now < job.state.cls.repeat_by(job.may_have_run()) - ANSWER_MARGIN_MS
+        return self.now < job.state.cls.repeat_deadline(job.may_have_run()) - ANSWER_MARGIN_MS
 
     def _send(self, job, w, sample):
         due = self.now + job.run * w.slope + self.turn  # a missing key may take as long as a run
-        begin_by = job.state.cls.repeat_by(job.may_have_run()) - ANSWER_MARGIN_MS
+        begin_by = job.state.cls.repeat_deadline(job.may_have_run()) - ANSWER_MARGIN_MS
         attempt = Attempt(job, w, sample, self.now, due)
         w.unended[attempt] = None
         self.shared.retries_left -= job.is_tried()
--- a/tests/test_change.py
+++ b/tests/test_change.py
@@ -222,7 +222,7 @@
         assert both.may_cancel <= side.may_cancel and both.second_copies <= side.second_copies
         for cls in side.classes:
             now = named[cls.name]
-            assert now.harmless <= cls.harmless
+            assert now.repeats_are_harmless <= cls.repeats_are_harmless
             if now.effect is not Effect.UNSAFE:
                 assert (now.effect, now.group) == (cls.effect, cls.group) and now.key_ttl_ms <= cls.key_ttl_ms
     assert between(old, old) == old
