--- a/molespur/interface.py
+++ b/molespur/interface.py
@@ -104,7 +104,7 @@
         """
         if self.effect is Effect.SAFE or not ran:
             return float("inf")
-        return ran[0].sent + self.key_ttl_ms if self.effect is Effect.KEYED else float("-inf")
+        return ran[0].sent_at + self.key_ttl_ms if self.effect is Effect.KEYED else float("-inf")
 
     def dedup_group_of(self, worker):
         """What the workers that drop repeats of a job sent to this one share; None: nothing that limits."""
--- a/molespur/records.py
+++ b/molespur/records.py
@@ -7,47 +7,45 @@
 from .interface import NEVER_RAN, Outcome
 from .sliding_sum import SlidingSum
 
-DEFAULT_SLOTS = 4.0  # until a report tells better
-LAG_MS = 500.0  # a report tells of about this long ago; own sends since are added
-HINT_GAIN = 0.02  # weight of one finished job in what hints are held to tell
-KEYS_KEPT = 20  # keys remembered for each worker; a key's match falls evenly from 1 to 0 over them
+DEFAULT_SLOTS = 4.0  # until a report gives the number
+REPORT_LAG_MS = 500.0  # a report shows the load of about this long ago; own sends since then are added
+HINT_GAIN = 0.02  # weight of one finished job in the estimate of how good hints are
+MAX_KEYS = 20  # keys remembered for each worker; a key's match falls evenly from 1 to 0 over them
 
 
 class Worker:
-    """What is known of one worker."""
-
     def __init__(self, entry, now, rank):
         self.id, self.rank = entry.worker, rank  # the lowest ranks make up the dispatcher's own subset
         self.slots, self.slots_known = DEFAULT_SLOTS, False
-        self.base, self.slope, self.probed = 1.0, 1.0, now
-        self.forget(entry, now)
+        self.prior_slope, self.slope, self.probed_at = 1.0, 1.0, now  # slope: run time there / at speed 1
+        self.reset(entry, now)
 
-    def forget(self, entry, now):
-        """Start anew: a first sight, or the process has restarted."""
+    def reset(self, entry, now):
+        """Forget what was learned: the worker is new, or its process has restarted."""
         self.zone, self.kind, self.cell, self.power = entry.zone, entry.kind, entry.cell, entry.power
-        self.born, self.list_ok = entry.born_ms, True
-        self.own = self.own_avg = self.others = 0.0
-        self.own_avg_at, self.heard, self.seen = now, now, -1e9
-        self.unended = {}  # own attempts there -> None, oldest first
-        self.lag, self.lag_at = 0.0, now  # by how much the last that ended was overdue
+        self.started_at, self.in_service = entry.born_ms, True
+        self.own_slots = self.own_average = self.other_slots = 0.0  # in use by own jobs, by others'
+        self.own_average_at, self.last_contact_at, self.measured_at = now, now, -1e9  # measured: other_slots
+        self.unfinished = {}  # own attempts there -> None, oldest first
+        self.lateness, self.lateness_at = 0.0, now  # by how much the last that ended was overdue
         self.pace = 0.0  # log of observed over forecast run time
-        self.full_until, self.fulls = 0.0, 0
-        self.room = float("inf")  # slots over its own that it was seen to take, until it answers full
-        self.strikes, self.ejected_until, self.probation, self.faults, self.mute = 0, 0.0, False, 0.0, 0
-        self.budget = SlidingSum()  # work sent while cold
-        self.lump_from, self.lump_part = None, 1.0  # since when a large job waits, and its part
-        self.part, self.part_asked = None, 0.0  # of its budget while cold: what is ours, what jobs asked for
+        self.full_until, self.fulls = 0.0, 0  # fulls: FULL outcomes, less the jobs finished since
+        self.queue_room = float("inf")  # slots beyond its own that it was seen to take, until it answers FULL
+        self.ejections, self.ejected_until, self.probation = 0, 0.0, False  # until a new job is done
+        self.failures, self.failed_probes = 0.0, 0
+        self.cold_work = SlidingSum()  # sent while cold
+        self.large_job_since, self.large_job_delay = None, 1.0  # see Dispatcher._cold_allows
+        self.cold_share, self.cold_requested = None, 0.0  # own part of its cold budget; part needed
         self.keys = {}  # key -> None, oldest first
 
-    def recent(self, now):
-        """Own slots there as a report that arrives now would show them."""
-        gap = now - self.own_avg_at
-        return self.own_avg + (self.own - self.own_avg) * gap / (gap + LAG_MS)
+    def reported_own(self, now):
+        """Own slots in use there as a report that arrives now would show them."""
+        gap = now - self.own_average_at
+        return self.own_average + (self.own_slots - self.own_average) * gap / (gap + REPORT_LAG_MS)
 
-    def count(self, slots, now):
-        """Add own slots there."""
-        self.own_avg, self.own_avg_at = self.recent(now), now
-        self.own = max(0.0, self.own + slots)
+    def add_own(self, slots, now):
+        self.own_average, self.own_average_at = self.reported_own(now), now
+        self.own_slots = max(0.0, self.own_slots + slots)
 
     def learn_slots(self, slots):
         """Reports count jobs, and a job may hold several slots: high readings count more than low ones."""
@@ -58,34 +56,34 @@
 
 
 class ClassState:
-    """A class with what is learned of its run times."""
+    """A class and what is learned of its run times."""
 
     def __init__(self, cls, sheddable):
         self.cls, self.sheddable = cls, sheddable
         self.runs = deque(maxlen=48)  # run times at speed 1
         self.median = self.mean = max(0.5 * cls.aim_ms, 1.0)  # an aim is set so that usual jobs meet it
-        self.longest_left = 0.0
-        self.in_time, self.offered = 1.0, 0.0  # share of its jobs in time lately; worth asked for so far
-        self.spread, self.shared = 0.5, 0.25  # variance of hints' logs, and their covariance with run times'
+        self.max_time_left = 0.0
+        self.in_time, self.offered = 1.0, 0.0  # recent share of its jobs in time; worth submitted so far
+        self.variance, self.covariance = 0.5, 0.25  # of hints' logs, and with run times' logs
 
-    def under(self, cls, sheddable):
-        """The same with all that was learnt, for other settings; jobs that are open keep the old."""
+    def updated(self, cls, sheddable):
+        """The same state under other settings; open jobs keep the old settings."""
         state = self if (cls, sheddable) == (self.cls, self.sheddable) else copy(self)
         state.cls, state.sheddable = cls, sheddable
         return state
 
-    def expect(self, hint):
-        """Run time of a job: its hint, shrunk towards the mean as far as hints have told nothing."""
-        trust = min(max(self.shared / self.spread, 0.0), 1.0)
+    def expected_run(self, hint):
+        """Expected run time: the hint, shrunk towards the mean the less finished jobs bear hints out."""
+        trust = min(max(self.covariance / self.variance, 0.0), 1.0)
         return self.median if hint is None else self.mean ** (1 - trust) * hint**trust
 
-    def weigh(self, hint, run):
-        """Learn from a finished job how much its hint told."""
+    def learn_hint(self, hint, run):
+        """Learn from a finished job how good its hint was."""
         off = log(max(hint, 1.0) / self.median)
-        self.spread += HINT_GAIN * (off * off - self.spread)
-        self.shared += HINT_GAIN * (off * log(max(run, 1.0) / self.median) - self.shared)
+        self.variance += HINT_GAIN * (off * off - self.variance)
+        self.covariance += HINT_GAIN * (off * log(max(run, 1.0) / self.median) - self.covariance)
 
-    def learn(self, run):
+    def learn_run(self, run):
         self.runs.append(run)
         if len(self.runs) < 8 or len(self.runs) % 4 == 0 or len(self.runs) == 48:
             ranked = sorted(self.runs)
@@ -94,35 +92,35 @@
 
 
 class Job:
-    """A request that is owed an answer, or whose attempts are still out."""
+    """A request that is owed a response or has unfinished attempts; `probed`: worker -> did it reply."""
 
-    def __init__(self, event, state, most, now):
-        cls, self.most = state.cls, most  # attempts
-        self.id, self.state, self.key, self.bound = event.request, state, event.key, cls.kind
-        self.ask = max(event.slots, event.memory, 0.1)  # a worker has a unit of memory for each slot
+    def __init__(self, event, state, max_attempts, now):
+        cls, self.max_attempts = state.cls, max_attempts
+        self.id, self.state, self.key, self.kind = event.request, state, event.key, cls.kind
+        self.slots = max(event.slots, event.memory, 0.1)  # a worker has a unit of memory for each slot
         self.hint, self.hinted = event.work_hint_ms, event.work_hint_ms is not None
-        self.run = state.expect(self.hint)  # at speed 1
-        left = max(event.time_left_ms, 0.0)
-        state.longest_left = max(state.longest_left, left)
-        # guards against retries counted as fresh: the aim runs from the client's first try
-        gone = state.longest_left - left
-        self.allowed = cls.aim_ms + cls.aim_stretch * self.run  # time to be in, from its first try
-        self.aim_at = now + min(self.allowed, cls.deadline_ms) - gone
-        self.deadline, self.not_before = now + left, now
-        self.attempts, self.out, self.open, self.tried, self.asked = [], 0, True, (), {}  # asked: who said
+        self.run = state.expected_run(self.hint)  # at speed 1
+        time_left = max(event.time_left_ms, 0.0)
+        state.max_time_left = max(state.max_time_left, time_left)
+        # guards against retries that count as new jobs: the aim runs from the client's first attempt
+        elapsed = state.max_time_left - time_left
+        self.allowed = cls.aim_ms + cls.aim_stretch * self.run  # from the first attempt, to be in time
+        self.aim_at = now + min(self.allowed, cls.deadline_ms) - elapsed
+        self.deadline, self.not_before = now + time_left, now
+        self.attempts, self.unfinished, self.open, self.tried, self.probed = [], 0, True, (), {}
         self.sheddable, self.worth = state.sheddable, cls.worth
 
-    def is_tried(self):
+    def was_tried(self):
         return any(a.outcome is not Outcome.MOOT for a in self.attempts)
 
-    def may_have_run(self):
+    def possible_runs(self):
         return [a for a in self.attempts if a.outcome not in NEVER_RAN]
 
 
 class Attempt:
-    """One attempt, with the terms of its forecast for training."""
+    """One attempt; `sample` holds the terms of its forecast for training (FinishTimeModel.train)."""
 
-    def __init__(self, job, worker, sample, now, due):
-        self.job, self.worker, self.sample, self.ask, self.cancelled = job, worker, sample, job.ask, False
-        self.number, self.sent, self.began, self.outcome = len(job.attempts), now, None, None
-        self.due = due  # when it ends if it need not wait
+    def __init__(self, job, worker, sample, now, due_at):
+        self.job, self.worker, self.sample, self.slots, self.cancelled = job, worker, sample, job.slots, False
+        self.number, self.sent_at, self.began_at, self.outcome = len(job.attempts), now, None, None
+        self.due_at = due_at  # when it ends if it need not wait
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -351,9 +351,11 @@
             want = LIVES[words[0]]
             await self.until(lambda: self.cluster.lifecycle(verb) is want)
             workers = self.dispatcher.workers
-            await self.until(lambda: (verb in workers and workers[verb].list_ok) is (words[0] == "active"))
+            await self.until(lambda: (verb in workers and workers[verb].in_service) is (words[0] == "active"))
         elif who == "born":
-            assert self.dispatcher.workers[verb].born == float(words[0]), self.dispatcher.workers[verb].born
+            assert self.dispatcher.workers[verb].started_at == float(words[0]), self.dispatcher.workers[
+                verb
+            ].started_at
         elif who == "d":
             await self.discovery(verb, words)
         elif who.startswith("w"):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -92,7 +92,7 @@
     d, asked, sent = asked_first()
     assert len(set(asked)) == 6 and not sent
     for w in d.live:  # by what others saw, all are crowded
-        w.others, w.seen = 12.0, 2.0
+        w.other_slots, w.measured_at = 12.0, 2.0
     for n, worker in enumerate(asked):
         assert not of(out := say(d, 3.0 + 2 * n, worker, n == free), io.Send) or n == 5
     assert [send.worker for send in of(out, io.Send)] == [asked[free]]
@@ -130,8 +130,8 @@
     found = []
     for seed in range(12):
         d, asked, _ = asked_first(key=5, seed=seed)
-        d.heat, d.heat_all = {5: 0.1}, 100.0
-        (home,) = [w for w, match in d._homes(5).items() if match > 0.8]
+        d.key_jobs, d.key_total = {5: 0.1}, 100.0
+        (home,) = [w for w, match in d._preferred_workers(5).items() if match > 0.8]
         for n, worker in enumerate(asked):
             out = say(d, 3.0 + 2 * n, worker, True)
         found += [of(out, io.Send)[0].worker == home] * (home not in asked)
@@ -149,7 +149,7 @@
 
 def test_a_job_waits_for_workers_that_say_nothing_for_a_tenth_of_its_time_or_of_a_mean_run():
     d, asked, sent = asked_first()
-    turn, now = d.turn, 2.0
+    turn, now = d.mean_run, 2.0
     while not sent:
         now += 4.0
         sent = of(d.handle(now, io.TimerFired("due")), io.Send)
@@ -200,23 +200,23 @@
     news(d, entry("long"), entry("short"))
     for name in ("long", "short"):
         d.workers[name].learn_slots(4)
-        d._report(d.workers[name], {"free_slots": 0.0, "util": 1.0})
+        d._apply_report(d.workers[name], {"free_slots": 0.0, "util": 1.0})
     job = submit(d, 1, now=2.0, work_hint_ms=100.0)
     first = of(job, io.Send)[0].worker
     other = ({"long", "short"} - {first}).pop()
-    waits = [d._wait(d.workers[first], 1)[0]]
+    waits = [d._expected_wait(d.workers[first], 1)[0]]
     for now in (500.0, 1000.0, 2000.0):
         d.now = now
-        waits.append(d._wait(d.workers[first], 1)[0])
+        waits.append(d._expected_wait(d.workers[first], 1)[0])
     assert waits[3] > waits[2] > waits[1] and waits[3] > 1000
     d.now = 2000.0
-    assert d._wait(d.workers[other], 1)[0] < waits[3] / 4
+    assert d._expected_wait(d.workers[other], 1)[0] < waits[3] / 4
     end(d, 1, Outcome.OK, now=2100.0, elapsed=2098.0)
-    assert d._wait(d.workers[first], 1)[0] > 1000  # the next would wait as long
-    d._report(d.workers[first], {"free_slots": 2.0, "free_memory": 0.0, "util": 0.5})
-    assert d._wait(d.workers[first], 1)[0] > 1000  # also where slots are free, but no memory
-    d._report(d.workers[first], {"free_slots": 2.0, "free_memory": 1.0, "util": 0.5})
-    assert d._wait(d.workers[first], 1)[0] < 400  # until both are seen free
+    assert d._expected_wait(d.workers[first], 1)[0] > 1000  # the next would wait as long
+    d._apply_report(d.workers[first], {"free_slots": 2.0, "free_memory": 0.0, "util": 0.5})
+    assert d._expected_wait(d.workers[first], 1)[0] > 1000  # also where slots are free, but no memory
+    d._apply_report(d.workers[first], {"free_slots": 2.0, "free_memory": 1.0, "util": 0.5})
+    assert d._expected_wait(d.workers[first], 1)[0] < 400  # until both are seen free
 
 
 def test_few_dispatchers_take_an_overdue_job_for_a_wait_only_after_long_silence():
@@ -227,11 +227,11 @@
     w.learn_slots(4)
     submit(d, 1, now=2.0, work_hint_ms=100.0)
     d.now = 1400.0
-    assert d._wait(w, 1)[0] < 200
+    assert d._expected_wait(w, 1)[0] < 200
     d.now = 3000.0
-    assert d._wait(w, 1)[0] > 1500
+    assert d._expected_wait(w, 1)[0] > 1500
     end(d, 1, Outcome.OK, now=3000.0, elapsed=2998.0)
-    assert w.lag == 0.0
+    assert w.lateness == 0.0
 
 
 def test_own_jobs_beyond_the_mean_stand_for_those_of_like_dispatchers():
@@ -242,9 +242,9 @@
         news(d, *(entry(f"w{n}") for n in range(10)))
         for w in d.live:
             w.learn_slots(8)
-        before = d._wait(d.live[0], 1)[1]
-        d.live[0].own += 2.0
-        more[balancers] = d._wait(d.live[0], 1)[1] - before
+        before = d._expected_wait(d.live[0], 1)[1]
+        d.live[0].own_slots += 2.0
+        more[balancers] = d._expected_wait(d.live[0], 1)[1] - before
     assert more[MANY] > 8.0
     assert more[2] == 2.0  # two see each other's jobs in every report: to count them twice is a loss there
 
@@ -255,7 +255,7 @@
     for seed in range(12):
         d = make(seed=seed, balancers=MANY)
         news(d, *(entry(f"w{n}") for n in range(60)))
-        d.heat, d.heat_all = {5: 0.1}, 100.0
+        d.key_jobs, d.key_total = {5: 0.1}, 100.0
         chosen.update(s.worker for s in of(submit(d, 1, key=5, work_hint_ms=100.0), io.Send))
     assert len(chosen) <= 3
 
@@ -274,7 +274,7 @@
             if d._cold_allows(d.workers["new"], job):
                 d.jobs[now] = job
                 d._send(job, d.workers["new"], ("k", work, 0.0, 0.0, 0.0, 1.0))
-                sent[number].append((d.now, d._work(job)))
+                sent[number].append((d.now, d._counted_work(job)))
     d = fleet[0]
     for end_at in (3000.0, 6000.0, 9000.0):
         d.now = end_at - window / 2
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -54,9 +54,9 @@
     w = d.workers["w"]
     waits = []
     for _ in range(6):
-        waits.append(d._wait(w, 1.0)[0])
-        w.count(1.0, d.now)
-    assert waits == sorted(waits) and waits[5] > waits[0] + 0.2 * d.turn
+        waits.append(d._expected_wait(w, 1.0)[0])
+        w.add_own(1.0, d.now)
+    assert waits == sorted(waits) and waits[5] > waits[0] + 0.2 * d.mean_run
 
 
 def test_draw_is_random_and_favours_most_headroom():
@@ -91,11 +91,11 @@
 def test_warm_workers_keep_a_key_until_they_fall_behind():
     d = make(4)
     news(d, *(entry(f"w{i}") for i in range(5)))
-    d.homes[9] = {}  # only what was sent counts here
+    d.preferred[9] = {}  # only what was sent counts here
     d.workers["w3"].keys[9] = None
     drawn = Counter(d._choose(d_job(d, n, key=9), d.live)[0].id for n in range(300))
     assert drawn["w3"] > 280
-    d.workers["w3"].others, d.workers["w3"].seen = 40.0, d.now
+    d.workers["w3"].other_slots, d.workers["w3"].measured_at = 40.0, d.now
     drawn = Counter(d._choose(d_job(d, n, key=9), d.live)[0].id for n in range(100))
     assert drawn["w3"] < 10
 
@@ -173,12 +173,12 @@
     d = make(cold_ms=60_000.0)
     news(d, entry("new", born=1.0))
     for _ in range(20):
-        d.classes["safe"].learn(100.0)
-    d.turn = 100.0
+        d.classes["safe"].learn_run(100.0)
+    d.mean_run = 100.0
     large = d_job(d, 1, work_hint_ms=4000.0)
-    d.now, d.workers["new"].lump_from = 30_000.0, -1e9
+    d.now, d.workers["new"].large_job_since = 30_000.0, -1e9
     assert not d._cold_allows(d.workers["new"], large)
-    d.turn = 4000.0
+    d.mean_run = 4000.0
     assert d._cold_allows(d.workers["new"], large)
 
 
@@ -186,7 +186,10 @@
     d = make(classes=(JobClass("low", 500, 5000), UNSAFE), worth_by_work=True)
     news(d, entry("w"))
     for n in range(8):
-        d.workers["w"].others, d.workers["w"].seen = 40.0, 10.0 + 3000 * n  # others' jobs have it waiting
+        d.workers["w"].other_slots, d.workers["w"].measured_at = (
+            40.0,
+            10.0 + 3000 * n,
+        )  # others' jobs have it waiting
         submit(d, n, "unsafe", now=10.0 + 3000 * n, work_hint_ms=100.0)
         end(d, n, Outcome.OK, 10.0 + 3000 * n + 900, elapsed=900.0)
     assert d.margins[None][0] > 0.5
@@ -247,7 +250,7 @@
         took = sum(d.jobs[n].attempts[0].sample[2:4]) + (hint if told else 200.0)
         end(d, n, Outcome.OK, now + took, elapsed=took)
     state = d.classes["unsafe"]
-    assert least * 0.8 <= log(state.expect(800.0) / state.expect(100.0)) / log(8) <= most
+    assert least * 0.8 <= log(state.expected_run(800.0) / state.expected_run(100.0)) / log(8) <= most
 
 
 def test_unheard_worker_looks_slow():
@@ -256,9 +259,9 @@
     submit(d, 1, work_hint_ms=100.0)
     w = d.workers["w"]
     d.now = 500.0
-    near = d._wait(w, 1.0)[0]
+    near = d._expected_wait(w, 1.0)[0]
     d.now = 4000.0
-    assert d._wait(w, 1.0)[0] > near + 2000
+    assert d._expected_wait(w, 1.0)[0] > near + 2000
 
 
 def test_time_out_without_a_word_is_a_strike():
@@ -266,7 +269,7 @@
     news(d, entry("w"))
     submit(d, 1, "unsafe")
     end(d, 1, Outcome.TIMEOUT, 5002, elapsed=5000.0)
-    assert d.workers["w"].strikes == 1
+    assert d.workers["w"].ejections == 1
 
 
 def test_repeats_are_aimed_from_the_first_try():
@@ -318,12 +321,12 @@
     news(d, entry("w"))
     w = d.workers["w"]
     submit(d, 1, work_hint_ms=400.0)
-    w.others, w.seen = 4.0, 3.0
+    w.other_slots, w.measured_at = 4.0, 3.0
     end(d, 1, Outcome.FULL, 3.0)
     w.full_until = 0.0
-    w.others, w.seen = 6.0, d.now
+    w.other_slots, w.measured_at = 6.0, d.now
     assert d._choose(d_job(d, 2), d.live) is None
-    w.others, w.seen = 1.0, d.now
+    w.other_slots, w.measured_at = 1.0, d.now
     assert d._choose(d_job(d, 3), d.live) is not None
 
 
@@ -332,8 +335,8 @@
     news(d, entry("w"), entry("new", born=1.0))
     warm, cold = d.workers["w"], d.workers["new"]
     assert cold.slope == warm.slope
-    warm.own = cold.own = 2.0  # of four slots, and of one while a quarter warm
-    assert d._wait(cold, 1.0)[0] > 10 * d._wait(warm, 1.0)[0]
+    warm.own_slots = cold.own_slots = 2.0  # of four slots, and of one while a quarter warm
+    assert d._expected_wait(cold, 1.0)[0] > 10 * d._expected_wait(warm, 1.0)[0]
 
 
 def test_cold_worker_gets_jobs_even_where_a_share_is_smaller_than_one():
@@ -370,12 +373,12 @@
     d = make(balancers=9, cold_ms=60_000.0)
     news(d, entry("w"), entry("new", born=1.0))
     warm, cold = d.workers["w"], d.workers["new"]
-    warm.count(3.0, 1.0)
-    warm.count(0.0, 5000.0)
+    warm.add_own(3.0, 1.0)
+    warm.add_own(0.0, 5000.0)
     d.now = 5000.0
     d._refit()
-    warm.count(-3.0, 5000.0)
-    assert d._wait(warm, 1.0)[0] > 3 * d._wait(cold, 1.0)[0]
+    warm.add_own(-3.0, 5000.0)
+    assert d._expected_wait(warm, 1.0)[0] > 3 * d._expected_wait(cold, 1.0)[0]
 
 
 def test_large_fleet_is_known_by_a_subset_that_favours_the_own_zone():
@@ -383,19 +386,19 @@
     d = make(cpu_per_request_us=10.0, zone="a")
     news(d, *(entry(f"w{n}", zone="abcde"[n % 5]) for n in range(200)))
     sent = Counter(s.worker for n in range(100) for s in of(submit(d, n, now=10.0 + n), io.Send))
-    few = d.live[: d.subset]
+    few = d.live[: d.subset_size]
     assert set(sent) <= {w.id for w in few}
-    assert 0.2 * d.subset < sum(w.zone == "a" for w in few) < 0.8 * d.subset
+    assert 0.2 * d.subset_size < sum(w.zone == "a" for w in few) < 0.8 * d.subset_size
     other = make(seed=2, cpu_per_request_us=10.0, zone="a")
     news(other, *(entry(f"w{n}", zone="abcde"[n % 5]) for n in range(200)))
-    assert len({w.id for w in few} & {w.id for w in other.live[: other.subset]}) < d.subset
+    assert len({w.id for w in few} & {w.id for w in other.live[: other.subset_size]}) < d.subset_size
 
 
 def test_full_subset_does_not_stop_jobs_while_others_have_room():
     d = make(cpu_per_request_us=10.0)
     news(d, *(entry(f"w{n}") for n in range(200)))
-    few = {w.id for w in d.live[: d.subset]}
-    for worker in d.live[: d.subset]:
+    few = {w.id for w in d.live[: d.subset_size]}
+    for worker in d.live[: d.subset_size]:
         worker.full_until = 1e6
     (send,) = of(submit(d, 1), io.Send)
     assert send.worker not in few
@@ -407,11 +410,11 @@
     news(d, *(entry(f"w{n}") for n in range(30)))
     for n, worker in enumerate(d.live):
         d.now = 10.0 + n
-        d._report(worker, {"inflight": 2.0, "free_slots": 2.0})
-    d.live[0].count(4.0, 20.0)
+        d._apply_report(worker, {"inflight": 2.0, "free_slots": 2.0})
+    d.live[0].add_own(4.0, 20.0)
     d.now = 5000.0
     d._refit()
-    assert 0.3 < d.rho[False] < 0.6
+    assert 0.3 < d.others_load[False] < 0.6
 
 
 @pytest.mark.parametrize("outcome, passes", [(Outcome.FULL, 0), (Outcome.ERROR, 0), (Outcome.OK, 1)])
@@ -420,7 +423,7 @@
     d = make(tells_start=False)
     news(d, entry("w"))
     calls = []
-    d._serve_held = lambda: calls.append(d.now)
+    d._retry_held = lambda: calls.append(d.now)
     submit(d, 1)
     end(d, 1, outcome, 5.0)
     assert len(calls) == passes
@@ -451,7 +454,7 @@
     assert all(seen.most_common(1)[0][1] >= 21 for seen in homes.values())
     assert len({seen.most_common(1)[0][0] for seen in homes.values()}) == 8
     d.handle(3.0, io.FleetUpdate(io.UpdateMode.PARTIAL, (entry("w1", life=io.Lifecycle.GONE),)))
-    assert not any("w1" in d.homes[k] for k in range(40) if d._match(d.workers["w0"], k) >= 0)
+    assert not any("w1" in d.preferred[k] for k in range(40) if d._key_match(d.workers["w0"], k) >= 0)
 
 
 def test_a_held_job_keeps_no_other_of_its_class_waiting():
@@ -459,10 +462,10 @@
     d = make()
     news(d, entry("a"), entry("b"))
     pace(d, a=0.7, b=0.7)
-    d.turn = 2000.0  # a key miss makes any job late
+    d.mean_run = 2000.0  # a key miss makes any job late
     for w in d.live:
         w.keys.update({n: None for n in range(20)})
-    d.homes = {n: {} for n in range(100)}
+    d.preferred = {n: {} for n in range(100)}
     assert not of(submit(d, 1, key=50, work_hint_ms=100.0), io.Send) and len(d.held) == 1
     assert of(submit(d, 2, key=19, work_hint_ms=100.0, now=3.0), io.Send)
 
@@ -474,11 +477,11 @@
     for n in range(200):
         submit(d, n, key=7 if n % 4 == 0 else 1000 + n, now=10.0 + n)
         end(d, n, Outcome.OK, 10.5 + n)
-    d.homes = {}
-    homes = {key: sum(d._match(w, key) > 0.8 and key not in w.keys for w in d.live) for key in (7, 2000)}
+    d.preferred = {}
+    homes = {key: sum(d._key_match(w, key) > 0.8 and key not in w.keys for w in d.live) for key in (7, 2000)}
     for w in d.live:
         w.keys.clear()
-    warm = {key: sum(d._match(w, key) > 0.8 for w in d.live) for key in (7, 2000)}
+    warm = {key: sum(d._key_match(w, key) > 0.8 for w in d.live) for key in (7, 2000)}
     assert warm[2000] == 1 and warm[7] >= 4 and homes[2000] == 1
 
 
@@ -529,7 +532,7 @@
         job = Job(io.Submitted(i, "safe", 5000.0, work_hint_ms=100.0), d.classes["safe"], 3, d.now)
         if d._cold_allows(d.workers["new"], job):
             d._send(job, d.workers["new"], None)
-    return d._cold(d.workers["new"])[2]
+    return d._cold_budget(d.workers["new"])[2]
 
 
 @pytest.mark.parametrize(("part", "of_all"), [(None, 0.25), (0.5, 0.5), (1.0, 1.0), (0.0, 0.0)])
@@ -537,8 +540,8 @@
     d = make(balancers=4, cold_ms=60_000.0, cold_window_ms=4000.0)
     news(d, entry("new", born=1.0))
     for state in d.classes.values():
-        state.mean = d.turn = 100.0  # sends count for at least their class's mean
-    may = d._cold(d.workers["new"])[1]
+        state.mean = d.mean_run = 100.0  # sends count for at least their class's mean
+    may = d._cold_budget(d.workers["new"])[1]
     parts = {} if part is None else {"new": part}
     (use,) = of(d.handle(20.0, io.SharedState(parts)), io.ColdUsage) or (None,)
     sent = cold_work(d)
@@ -554,7 +557,7 @@
     d.handle(5.0, io.SharedState(bad_workers=frozenset({"w1", "unknown"})))
     assert d.ejected_workers(6.0) == {"w1"} and d.workers["w1"].probation
     d.handle(7.0, io.SharedState(bad_workers=frozenset({"w1"})))
-    assert d.workers["w1"].strikes == 1, "told again while it rests: no further strike"
+    assert d.workers["w1"].ejections == 1, "told again while it rests: no further strike"
     d.handle(8.0, io.SharedState(bad_workers=frozenset({"w0", "w1", "w2"})))
     assert d.ejected_workers(9.0) == set(), "too many would be: none is"
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -146,10 +146,10 @@
 def test_restart_under_the_same_id_is_cold_again():
     d = make()
     news(d, entry("w"))
-    d.workers["w"].strikes = 3
+    d.workers["w"].ejections = 3
     news(d, entry("w", born=500.0), now=500.0)
     d.now = 500.0
-    assert d.workers["w"].strikes == 0 and d._warmth(d.workers["w"]) == pytest.approx(0.25)
+    assert d.workers["w"].ejections == 0 and d._warmth(d.workers["w"]) == pytest.approx(0.25)
 
 
 def test_many_dispatchers_with_jobs_of_all_sizes_do_not_push_a_cold_worker_over():
