--- a/molespur/logic.py
+++ b/molespur/logic.py
@@ -81,7 +81,7 @@
         s, old = event.settings, self.classes
         low = {c: c.priority == min(other.priority for other in s.classes) for c in s.classes}
         self.classes = {c.name: old.get(c.name, ClassState(c, low[c])).updated(c, low[c]) for c in s.classes}
-        self.s = s
+        self.settings = s
         self.subset_size = max(int(s.cpu_per_request_us), 2) if s.cpu_per_request_us else SUBSET_SIZE
         self.extra_dispatchers = max(s.balancers - SMALL_FLEET, 0)
         self.discovery_retry.set(s.balancers, s.must_ask_in_ms)
@@ -99,9 +99,9 @@
     def _on_started(self, _event):
         self.started_at = self.now
         self.timers.after(MIN_REFIT_INTERVAL_MS * (0.2 + 0.3 * self.rng.random()), self._refit)
-        if self.s.subscribes:
+        if self.settings.subscribes:
             self._subscribe(0)
-        if self.s.may_probe:
+        if self.settings.may_probe:
             self.timers.after(WORKER_PROBE_INTERVAL_MS * self.rng.random(), self._probe_next)
 
     def _on_shared_state(self, event):
@@ -138,14 +138,14 @@
             worker.power, worker.in_service = entry.power, entry.lifecycle is Lifecycle.IN_SERVICE
         self.live = [w for w in self.workers.values() if w.in_service]
         others = max(len({w.zone for w in self.live}) - 1, 1)
-        self.live.sort(key=lambda w: w.rank / others if w.zone == self.s.zone else w.rank)
+        self.live.sort(key=lambda w: w.rank / others if w.zone == self.settings.zone else w.rank)
         self.pools, self.preferred = {}, {}
         self._update_slopes()
         self._retry_held()
 
     def _update_slopes(self):
         """Set each worker's prior run time from its listed power, pooled by kind, and its slope."""
-        kinds, sized = {}, self.s.power_is_size
+        kinds, sized = {}, self.settings.power_is_size
         for worker in self.live:
             kinds.setdefault(worker.kind, []).append(worker)
         known = [w.slots for w in self.live if w.slots_known] or [DEFAULT_SLOTS]
@@ -165,7 +165,7 @@
 
     def _warmth(self, worker):
         """The share of its capacity that a worker has at least."""
-        return self.s.warmth(self.now - worker.started_at) if worker.started_at else 1.0
+        return self.settings.warmth(self.now - worker.started_at) if worker.started_at else 1.0
 
     def _apply_report(self, w, fields):
         """Take in a load report: slots used by other dispatchers as of about REPORT_LAG_MS ago."""
@@ -213,7 +213,7 @@
         wait = self.mean_run * worker.slope / slots * 0.5 * (excess + sqrt(excess * excess + 4 * uncertainty))
         # guards against cut-off, slow or overloaded workers, which look idle or at most just full
         overdue = self.now - next(iter(worker.unfinished)).due_at if worker.unfinished else 0.0
-        if not self.extra_dispatchers and overdue < (1.5 * self.s.progress_ms or 4 * self.mean_run):
+        if not self.extra_dispatchers and overdue < (1.5 * self.settings.progress_ms or 4 * self.mean_run):
             overdue = 0.0  # in a small fleet own jobs and reports show all queues, except at a silent worker
         lateness = worker.lateness * exp((worker.lateness_at - self.now) / LATENESS_DECAY_MS)
         return max(wait, lateness, overdue), excess
@@ -244,7 +244,7 @@
         for cold in () if self.has_reports else (False, True):  # apart: cold workers get less than warm ones
             group = [w for w in self.live if (self._warmth(w) < 1) is cold]
             own, slots = sum(w.reported_own(self.now) for w in group), sum(w.slots for w in group)
-            self.others_load[cold] = min((self.s.balancers - 1) * own / max(slots, 1.0), 1.5)
+            self.others_load[cold] = min((self.settings.balancers - 1) * own / max(slots, 1.0), 1.5)
         self._update_slopes()
         jobs_take = MIN_REFIT_JOBS * (self.now - self.started_at) / max(self.arrivals, 1)
         interval = max(MIN_REFIT_INTERVAL_MS, min(jobs_take, 4 * MIN_REFIT_INTERVAL_MS))
@@ -281,7 +281,7 @@
             full = w.full_until > now or (w.slots_known and slots > w.slots)
             if full or w in job.tried or (unsafe and w.probation):  # safe jobs test workers on probation
                 continue
-            if w.started_at and now - w.started_at < self.s.cold_ms and not self._cold_allows(w, job):
+            if w.started_at and now - w.started_at < self.settings.cold_ms and not self._cold_allows(w, job):
                 continue
             wait, excess = self._expected_wait(w, slots)
             if excess > w.queue_room:
@@ -290,15 +290,15 @@
             miss = (1 - match) * self.mean_run
             forecast = self.model.forecast(run * w.slope, wait, miss) + burst_wait
             forecast += margins.get(w.kind, 0.0) + margins.get(None, 0.0)
-            near_free = near_free or (excess <= 0 and w.zone == self.s.zone)
+            near_free = near_free or (excess <= 0 and w.zone == self.settings.zone)
             candidates.append((forecast, w, wait, match, miss))
         if not candidates:
             return None
         if job.key is not None:  # prefer workers that have it, unless a mean run slower than the best
             candidates = prefer_warm(self.rng, candidates, self.mean_run, itemgetter(0), itemgetter(3))
         tier, meets = select_tier(self.rng, candidates, time_left, itemgetter(0), not unsafe)
-        crossing = ZONE_CROSSING_FACTOR * self.s.cross_zone_price * job.allowed * near_free
-        costs = [c[0] + crossing * (c[1].zone != self.s.zone) for c in tier]
+        crossing = ZONE_CROSSING_FACTOR * self.settings.cross_zone_price * job.allowed * near_free
+        costs = [c[0] + crossing * (c[1].zone != self.settings.zone) for c in tier]
         forecast, w, wait, match, miss = draw_candidate(self.rng, tier, costs)
         prior_run = run * w.slope / self.model.pace(w.kind)
         return w, (w.kind, prior_run, wait, miss, min(w.own_slots / w.slots, 2.0), match), meets, forecast
@@ -307,11 +307,11 @@
         """The class served worst, and the factor by which the goal raises its worth."""
         worst = min(self.classes.values(), key=lambda c: c.in_time)
         offered = sum(c.offered for c in self.classes.values())
-        weight = self.s.goal_worst_class / self.s.goal_whole
+        weight = self.settings.goal_worst_class / self.settings.goal_whole
         return worst, 1 + weight * offered / max(worst.offered, 1e-9)
 
     def _worth_per_work(self, job, worst):
-        size = 1.0 if self.s.worth_by_work else max(job.state.mean * job.slots, 1.0)
+        size = 1.0 if self.settings.worth_by_work else max(job.state.mean * job.slots, 1.0)
         return job.worth / size * (worst[1] if job.state is worst[0] else 1.0)
 
     def _on_submitted(self, event):
@@ -319,13 +319,13 @@
         if state is None:
             raise ValueError(f"job_class: unknown class {event.job_class!r}")
         self.arrivals += 1
-        job = Job(event, state, self.s.max_attempts, self.now)
+        job = Job(event, state, self.settings.max_attempts, self.now)
         if job.hinted:
             state.learn_run(job.hint)
-        state.offered += job.worth * (job.run if self.s.worth_by_work else 1.0)
+        state.offered += job.worth * (job.run if self.settings.worth_by_work else 1.0)
         self.mean_run += 0.02 * (state.mean * job.slots - self.mean_run)
         if not self.quotas.take(event.tenant, self.now):
-            job.sheddable, job.worth = True, job.worth * self.s.over_share_worth
+            job.sheddable, job.worth = True, job.worth * self.settings.over_share_worth
         self.jobs[job.id] = job
         self.key_jobs[job.key] = self.key_jobs.get(job.key, 0.0) + 1
         self.key_total += 1
@@ -337,7 +337,7 @@
     def _probe_first(self, job):
         """Probe a few workers where each of many dispatchers knows little of them; return whether to wait."""
         pool = self._eligible_workers(job)[: self.subset_size]
-        few = [w for w in pool if self.s.may_probe and w.ejected_until <= self.now]
+        few = [w for w in pool if self.settings.may_probe and w.ejected_until <= self.now]
         wait = HELD_RETRY_RUNS * min(self.mean_run, job.aim_at - self.now, job.deadline - self.now)
         useful = min(wait, job.allowed - REPORT_AGE_MS) > 0
         if few and self.extra_dispatchers and self.shared.probe_workers is None and useful:
@@ -424,7 +424,7 @@
     def _give_up(self, job):
         """Final response: a refusal where no attempt can have run or repeats are harmless, else a failure."""
         unsafe = job.possible_runs() and not job.state.cls.repeats_are_harmless  # to repeat
-        response = interface.Fail(job.id) if unsafe else interface.Refuse(job.id, self.s.pause_ms)
+        response = interface.Fail(job.id) if unsafe else interface.Refuse(job.id, self.settings.pause_ms)
         self.actions.append(response)
         job.state.in_time -= IN_TIME_GAIN * job.state.in_time
         self._close(job)
@@ -460,7 +460,7 @@
         worker.add_own(job.slots, self.now)
         if job.key is not None:
             worker.keys = dict.fromkeys([*(k for k in worker.keys if k != job.key), job.key][-MAX_KEYS:])
-        if worker.started_at and self.now - worker.started_at < self.s.cold_ms:
+        if worker.started_at and self.now - worker.started_at < self.settings.cold_ms:
             worker.cold_work.add(self.now, self._counted_work(job))
             worker.large_job_since, worker.large_job_delay = self.now, 1.0
         self.actions.append(interface.Send(job.id, worker.id, 0.0, begin_by))
@@ -484,7 +484,7 @@
                 worker.other_slots, worker.measured_at = min(max(worker.other_slots, 0.0), room), self.now
 
     def _cancel(self, attempt):
-        if self.s.may_cancel and not attempt.cancelled and attempt.outcome is None:
+        if self.settings.may_cancel and not attempt.cancelled and attempt.outcome is None:
             attempt.cancelled = True
             self.actions.append(interface.Cancel(attempt.job.id, attempt.number))
 
@@ -572,20 +572,20 @@
     def _cold_budget(self, w):
         """Work in a window: a cold worker's guaranteed capacity, the limit for all, what was sent here."""
         slope = w.prior_slope * self.model.pace(w.kind)
-        capacity = self._warmth(w) * w.slots / slope * self.s.cold_window_ms
-        limit = max(min(COLD_BUDGET_SHARE * self.s.cold_multiple, COLD_LOAD) * capacity, 1e-9)
-        return capacity, limit, w.cold_work.since(self.now - self.s.cold_window_ms)
+        capacity = self._warmth(w) * w.slots / slope * self.settings.cold_window_ms
+        limit = max(min(COLD_BUDGET_SHARE * self.settings.cold_multiple, COLD_LOAD) * capacity, 1e-9)
+        return capacity, limit, w.cold_work.since(self.now - self.settings.cold_window_ms)
 
     def _cold_allows(self, worker, job):
         """Rule 4: whether this dispatcher's share of a cold worker's budget has room for the job."""
-        share = 1 / self.s.balancers if worker.cold_share is None else worker.cold_share
+        share = 1 / self.settings.balancers if worker.cold_share is None else worker.cold_share
         (capacity, limit, sent), work = self._cold_budget(worker), self._counted_work(job)
         worker.cold_requested = max(worker.cold_requested, (sent + work) / limit)
         capacity, limit = capacity * share, limit * share
         if work <= limit or self.mean_run <= limit:
             return sent + work <= limit
         # guards against cold workers that get nothing where a share is below a job: then one job at a time
-        interval = work * self.s.cold_window_ms / max(COLD_LARGE_JOB_LOAD * capacity, 1e-9)
+        interval = work * self.settings.cold_window_ms / max(COLD_LARGE_JOB_LOAD * capacity, 1e-9)
         if worker.large_job_since is None:
             # drawn once, lest the wait of a large job lets a small one through early
             worker.large_job_since, worker.large_job_delay = self.now, self.rng.random()
@@ -601,7 +601,7 @@
         few = self.live[: self.subset_size] if targets is None else [w for w in self.live if w.id in targets]
         if few:
             self._probe(min(few, key=lambda w: w.probed_at))
-        priced = (self.now - self.started_at) / max(self.arrivals, 1) * self.s.probe_price / PROBE_COST
+        priced = (self.now - self.started_at) / max(self.arrivals, 1) * self.settings.probe_price / PROBE_COST
         interval = max(min(priced, MAX_PROBE_INTERVAL_MS), WORKER_PROBE_INTERVAL_MS / max(len(few), 1))
         self.timers.after(interval * (0.8 + 0.4 * self.rng.random()), self._probe_next)
 
--- a/tests/test_change.py
+++ b/tests/test_change.py
@@ -242,7 +242,7 @@
 
 
 def retune(d, now=10.0, **changes):
-    given = {f: getattr(d.s, f) for f in d.s.__dataclass_fields__} | changes
+    given = {f: getattr(d.settings, f) for f in d.settings.__dataclass_fields__} | changes
     return d.handle(now, io.SettingsChanged(Settings(**given)))
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,7 +14,7 @@
 
 @pytest.mark.parametrize("event", ["started", "lost", "away"])
 def test_a_fleet_that_asks_discovery_at_once_gets_all_its_watches(event):
-    settings = make(subscribes=True, must_ask_in_ms=10000.0, balancers=MANY).s
+    settings = make(subscribes=True, must_ask_in_ms=10000.0, balancers=MANY).settings
     fleet = [Dispatcher(settings, n) for n in range(MANY)]
     discovery = Discovery(each_ms=150.0, patience_ms=2000.0, most=20)
     first = io.Started() if event == "started" else io.FleetUpdate(UpdateMode.ERROR)
@@ -27,7 +27,7 @@
 
 def test_a_very_large_fleet_asks_again_before_what_it_was_not_told_counts_as_told():
     """Guards rule 3: without a watch, drains count as told some time after the last asking."""
-    settings = make(subscribes=True, must_ask_in_ms=10000.0, balancers=150).s
+    settings = make(subscribes=True, must_ask_in_ms=10000.0, balancers=150).settings
     fleet = [Dispatcher(settings, n) for n in range(150)]
     discovery = Discovery(each_ms=150.0, patience_ms=2000.0, most=20)
     drive(fleet, discovery, 10000.0, [(who, io.FleetUpdate(UpdateMode.ERROR)) for who in range(150)])
@@ -36,7 +36,7 @@
 
 def test_askings_slow_down_until_discovery_carries_them():
     """Guards against a fleet too large for its first waits: each failure must make the askings rarer."""
-    settings = make(subscribes=True, must_ask_in_ms=10000.0, balancers=150).s
+    settings = make(subscribes=True, must_ask_in_ms=10000.0, balancers=150).settings
     fleet = [Dispatcher(settings, n) for n in range(150)]
     discovery = Discovery(each_ms=150.0, patience_ms=2000.0, most=20)
     drive(fleet, discovery, 90000.0, [(who, io.Started()) for who in range(150)])
@@ -45,7 +45,7 @@
 
 def test_a_discovery_that_goes_down_is_not_asked_faster_than_before():
     """A stand-in's own check, too: the watches break, every call fails, and all are back afterwards."""
-    settings = make(subscribes=True, must_ask_in_ms=10000.0, balancers=MANY).s
+    settings = make(subscribes=True, must_ask_in_ms=10000.0, balancers=MANY).settings
     fleet = [Dispatcher(settings, n) for n in range(MANY)]
     discovery = Discovery(each_ms=20.0, patience_ms=2000.0, most=MANY)
     seen = []
@@ -280,7 +280,7 @@
         d.now = end_at - window / 2
         able = d._warmth(d.workers["new"]) * 8 * window
         total = sum(w for jobs in sent for at, w in jobs if end_at - window < at <= end_at)
-        assert total < 0.75 * d.s.cold_multiple * able
+        assert total < 0.75 * d.settings.cold_multiple * able
         assert total > 0.5 * able
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -167,4 +167,4 @@
                 if d._cold_allows(d.workers["new"], job):
                     d._send(job, d.workers["new"], None)
                     sent += hint
-    assert 0 < sent < d.s.cold_multiple * d.s.cold_start_share * 4 * d.s.cold_window_ms
+    assert 0 < sent < d.settings.cold_multiple * d.settings.cold_start_share * 4 * d.settings.cold_window_ms
