--- a/molespur/interface.py
+++ b/molespur/interface.py
@@ -1,8 +1,15 @@
-"""What goes into and comes out of the decision module: settings, events and actions.
+"""The interface of the decision module: its settings, events and actions.
 
 Times are milliseconds on the caller's clock; durations end in ``_ms``.  Work is
 core time in milliseconds at speed 1.  Settings are frozen and checked; events and
 actions are plain slotted records, since one is made for every step of every job.
+
+The decisions keep four rules, to which comments and tests refer by number:
+
+1. Each request gets exactly one final response while its client still waits.
+2. A job is only repeated where its class allows it (`Effect`, `Group`).
+3. A worker that discovery lists as draining or gone, or no longer lists, gets no new job.
+4. A cold worker gets no more work from all dispatchers than its budget (`Settings.cold_multiple`).
 """
 
 from dataclasses import dataclass, field
@@ -10,15 +17,15 @@
 
 
 class Effect(Enum):
-    """How safe it is to run a job of a class more than once."""
+    """Whether a job of a class may run more than once."""
 
     SAFE = "safe"
-    KEYED = "keyed"  # workers of one group drop repeats for a while
+    KEYED = "keyed"  # workers of one group drop repeats within key_ttl_ms of the first send
     UNSAFE = "unsafe"
 
 
 class Group(Enum):
-    """The workers that drop each other's repeats of a keyed job."""
+    """The workers among which repeats of a keyed job are dropped."""
 
     ALL = "all"
     ZONE = "zone"
@@ -29,46 +36,46 @@
     """How an attempt or a probe ended."""
 
     OK = 0
-    MOOT = 249
+    MOOT = 249  # it was never sent
     CANCELLED = 250
     RESET = 251
     CONNECT_FAILED = 252
     TIMEOUT = 253
-    FULL = 254
+    FULL = 254  # the worker had no room and refused it
     ERROR = 255
 
 
 NEVER_RAN = frozenset({Outcome.MOOT, Outcome.CONNECT_FAILED, Outcome.FULL})
-"""The only outcomes that prove an attempt had no effect."""
+"""The only outcomes that prove that an attempt did not run."""
 
 
 class UpdateMode(Enum):
-    """What a piece of fleet news holds."""
+    """What a FleetUpdate holds."""
 
-    PARTIAL = "partial"
-    COMPLETE = "complete"
-    PERSISTED = "persisted"
-    ERROR = "error"
+    PARTIAL = "partial"  # changes
+    COMPLETE = "complete"  # the whole list
+    PERSISTED = "persisted"  # the whole list as the configuration has it, before discovery has replied
+    ERROR = "error"  # nothing: the call to discovery has failed
 
 
 class Lifecycle(Enum):
-    """Where discovery says a worker is in its life."""
+    """State of a worker by discovery."""
 
     IN_SERVICE = "in_service"
     DRAINING = "draining"
     GONE = "gone"
 
 
-def _need(ok, name, value, want):
+def _require(ok, name, value, expected):
     if not ok:
-        raise ValueError(f"{name} must be {want}, got {value!r}")
+        raise ValueError(f"{name} must be {expected}, got {value!r}")
 
 
-def _number(owner, where, least, *names):
+def _require_numbers(owner, prefix, minimum, *names):
     for name in names:
         value = getattr(owner, name)
-        good = type(value) in (int, float) and least <= value < float("inf")
-        _need(good, f"{where}{name}", value, f"a number of at least {least}")
+        valid = type(value) in (int, float) and minimum <= value < float("inf")
+        _require(valid, f"{prefix}{name}", value, f"a number of at least {minimum}")
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,30 +91,30 @@
     effect: Effect = Effect.SAFE
     group: Group = Group.ALL
     key_ttl_ms: float = 0.0
-    kind: str | None = None  # the only kind of worker that runs it
+    kind: str | None = None  # the kind of worker that it needs; None: any
     priority: int = 0
 
     def __post_init__(self):
-        where = f"classes[{self.name}]."
-        _number(self, where, 0, "aim_ms", "aim_stretch", "worth", "late_worth", "key_ttl_ms")
-        _need(0 < self.deadline_ms < float("inf"), where + "deadline_ms", self.deadline_ms, "above 0")
+        prefix = f"classes[{self.name}]."
+        _require_numbers(self, prefix, 0, "aim_ms", "aim_stretch", "worth", "late_worth", "key_ttl_ms")
+        _require(0 < self.deadline_ms < float("inf"), prefix + "deadline_ms", self.deadline_ms, "above 0")
 
     @property
     def repeats_are_harmless(self) -> bool:
-        """A repeat does no harm, wherever it goes."""
+        """Whether a repeat does no harm on any worker."""
         return self.effect is Effect.SAFE or (self.effect is Effect.KEYED and self.group is Group.ALL)
 
-    def repeat_deadline(self, ran) -> float:
-        """Clock time up to which a further attempt may be written, by those that may have run, oldest first.
+    def repeat_deadline(self, possible_runs) -> float:
+        """Clock time until which a further attempt may be written, by those that may have run, oldest first.
 
-        The window in which workers drop repeats runs from the first send.
+        The window in which workers drop repeats starts with the first send.
         """
-        if self.effect is Effect.SAFE or not ran:
+        if self.effect is Effect.SAFE or not possible_runs:
             return float("inf")
-        return ran[0].sent_at + self.key_ttl_ms if self.effect is Effect.KEYED else float("-inf")
+        return possible_runs[0].sent_at + self.key_ttl_ms if self.effect is Effect.KEYED else float("-inf")
 
     def dedup_group_of(self, worker):
-        """What the workers that drop repeats of a job sent to this one share; None: nothing that limits."""
+        """Zone or cell to which repeats of a job sent to this worker are bound; None: they are not bound."""
         if self.effect is not Effect.KEYED or self.group is Group.ALL:
             return None
         return worker.zone if self.group is Group.ZONE else worker.cell
@@ -115,26 +122,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A customer and the rate, over all dispatchers, that is within its share (0: unlimited)."""
+    """A customer and its quota over all dispatchers (0: unlimited); jobs above it count as over its share."""
 
     name: str
     quota_per_s: float = 0.0
 
     def __post_init__(self):
-        _number(self, f"tenants[{self.name}].", 0, "quota_per_s")
+        _require_numbers(self, f"tenants[{self.name}].", 0, "quota_per_s")
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a dispatcher is told at start."""
+    """Settings of a dispatcher."""
 
     classes: tuple[JobClass, ...]
     zone: str = ""
     balancers: int = 1
     tenants: tuple[Tenant, ...] = ()
-    subscribes: bool = False  # discovery must be asked for changes
-    must_ask_in_ms: float = 0.0
-    power_is_size: bool = False  # a worker's power tells its size, exactly or roughly
+    subscribes: bool = False  # changes are pushed only after a Watch
+    must_ask_in_ms: float = 0.0  # max time without a call to discovery; 0: no limit
+    power_is_size: bool = False  # a worker's power is proportional to its capacity, at least roughly
     may_probe: bool = False
     may_cancel: bool = False
     second_copies: bool = False
@@ -142,40 +149,40 @@
     max_pause_ms: float = 0.0
     max_attempts: int = 1
     cpu_per_request_us: float = 0.0  # on a reference machine; 0: no limit
-    tells_start: bool = False
-    progress_ms: float = 0.0
-    cold_start_share: float = 1.0
-    cold_ms: float = 0.0
-    cold_multiple: float = 1.0
+    tells_start: bool = False  # Progressed events come when an attempt starts
+    progress_ms: float = 0.0  # interval of Progressed events; 0: none
+    cold_start_share: float = 1.0  # share of its capacity that a worker has at least when it starts
+    cold_ms: float = 0.0  # age at which a worker is warm
+    cold_multiple: float = 1.0  # work that a cold worker may get in a window, in multiples of its capacity
     cold_window_ms: float = 0.0
     worth_by_work: bool = False  # worth counts for each unit of work, not for each job
-    over_share_worth: float = 1.0
-    goal_whole: float = 1.0  # weight of all worth together, against
-    goal_worst_class: float = 0.0  # that of the class served worst
+    over_share_worth: float = 1.0  # factor for the worth of jobs above their tenant's quota
+    goal_whole: float = 1.0  # weight of the total worth in the goal
+    goal_worst_class: float = 0.0  # weight of the class served worst
     cross_zone_price: float = 0.0
     probe_price: float = 0.0
 
     def __post_init__(self):
-        _need(self.classes, "classes", self.classes, "a non-empty tuple")
+        _require(self.classes, "classes", self.classes, "a non-empty tuple")
         names = [c.name for c in self.classes]
-        _need(len(set(names)) == len(names), "classes", names, "free of repeated names")
-        _number(self, "", 1, "balancers", "max_attempts")
-        _number(
+        _require(len(set(names)) == len(names), "classes", names, "free of repeated names")
+        _require_numbers(self, "", 1, "balancers", "max_attempts")
+        _require_numbers(
             self, "", 0, "must_ask_in_ms", "max_pause_ms", "progress_ms", "cold_ms",
             "cold_multiple", "cold_window_ms", "over_share_worth", "cross_zone_price",
             "probe_price", "goal_worst_class", "cpu_per_request_us",
         )  # fmt: skip
-        _need(self.goal_whole > 0, "goal_whole", self.goal_whole, "above 0")
+        _require(self.goal_whole > 0, "goal_whole", self.goal_whole, "above 0")
         share = self.cold_start_share
-        _need(0 < share <= 1, "cold_start_share", share, "above 0 and at most 1")
+        _require(0 < share <= 1, "cold_start_share", share, "above 0 and at most 1")
 
     @property
     def pause_ms(self) -> float:
-        """When a client that is refused is told to come back; 0: it is not told."""
+        """Pause that a refused client is advised to make before its next attempt; 0: none is advised."""
         return self.max_pause_ms if self.advises_pause else 0.0
 
     def warmth(self, age_ms: float) -> float:
-        """The share of its capacity that a worker of this age has at least: it warms evenly or sooner."""
+        """Share of its capacity that a worker of this age has at least: linear in age until it is warm."""
         if age_ms >= self.cold_ms:
             return 1.0
         return self.cold_start_share + (1 - self.cold_start_share) * max(age_ms, 0.0) / self.cold_ms
@@ -191,24 +198,24 @@
     cell: int = 0
     lifecycle: Lifecycle = Lifecycle.IN_SERVICE
     power: float = 1.0
-    born_ms: float = 0.0  # clock time of the latest start, 0: long ago
+    born_ms: float = 0.0  # clock time of its latest start; 0: long ago
 
 
 @dataclass(slots=True)
 class Started:
-    """The dispatcher comes up, knowing nothing."""
+    """The dispatcher starts, with no knowledge of workers."""
 
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """Other settings hold from now on; open jobs keep the class and the attempts they were taken under."""
+    """Settings to apply from now on; open jobs keep the class and the max attempts of the old ones."""
 
     settings: Settings
 
 
 @dataclass(slots=True)
 class FleetUpdate:
-    """Discovery's list or changes to it."""
+    """Discovery's list of workers, or changes to it."""
 
     mode: UpdateMode
     entries: tuple[WorkerEntry, ...] = ()
@@ -232,15 +239,15 @@
     shed_shares: dict[str, float] = field(default_factory=dict)
 
     def sheds(self, submitted) -> bool:
-        """Whether all schedulers turn this job away."""
+        """Whether all schedulers refuse this job."""
         return submitted.draw < self.shed_shares.get(submitted.job_class, 0.0)
 
 
 @dataclass(slots=True)
 class Submitted:
-    """A client's request, which now is owed one final answer within time_left_ms.
+    """A client's request, which is owed one final response within time_left_ms.
 
-    `draw` is from 0 to 1, the same for one job at every scheduler; 1 where schedulers share nothing.
+    `draw` is a number from 0 to 1, the same for one job at every scheduler; 1 where schedulers share nothing.
     """
 
     request: int
@@ -256,7 +263,7 @@
 
 @dataclass(slots=True)
 class StreamBegun:
-    """The answer of a streamed class has started; the attempt now belongs to the client."""
+    """The response of an attempt is being streamed to the client: the attempt may no longer be cancelled."""
 
     request: int
     attempt: int
@@ -264,7 +271,7 @@
 
 @dataclass(slots=True)
 class Progressed:
-    """A running attempt has started (share None) or has done a share of its work."""
+    """An attempt has started to run (share None), or has done this share of its work."""
 
     request: int
     attempt: int
@@ -273,7 +280,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """The one outcome of an attempt; answered: nothing more is owed for the request."""
+    """The only outcome of an attempt; answered: the request is owed no further response."""
 
     request: int
     attempt: int
@@ -285,14 +292,14 @@
 
 @dataclass(slots=True)
 class ClientGone:
-    """The client has left; nothing more is owed."""
+    """The client has disconnected; no response is owed."""
 
     request: int
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that the dispatcher set has come due."""
+    """A timer set by the dispatcher has expired."""
 
     tag: str
 
@@ -309,17 +316,17 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt; attempts of a request are numbered from 0 in this order."""
+    """Start an attempt; attempts of a request are numbered from 0 in the order of these actions."""
 
     request: int
     worker: str
     timeout_ms: float = field(default=0.0)  # 0: until the client gives up
-    begin_by_ms: float = float("inf")  # clock time after which it must not be written any more
+    begin_by_ms: float = float("inf")  # clock time after which it must not be written
 
 
 @dataclass(slots=True)
 class Cancel:
-    """Call an attempt off."""
+    """Cancel an attempt."""
 
     request: int
     attempt: int
@@ -327,7 +334,7 @@
 
 @dataclass(slots=True)
 class Refuse:
-    """Final answer: turned away, trying again is harmless."""
+    """Final response: refused; a repeat does no harm."""
 
     request: int
     pause_ms: float = 0.0
@@ -335,14 +342,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed, and it may have run."""
+    """Final response: failed, and the job may have run."""
 
     request: int
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a TimerFired after delay_ms."""
+    """Request a TimerFired after delay_ms."""
 
     delay_ms: float
     tag: str
@@ -350,13 +357,16 @@
 
 @dataclass(slots=True)
 class Watch:
-    """Ask discovery for its changes from now on."""
+    """Request discovery's changes from now on."""
 
 
 @dataclass(slots=True)
 class ColdUsage:
-    """Answers `SharedState` for one cold worker: which part of all that it may be sent in a window this
-    dispatcher has sent lately, and up to which part its jobs have asked for since the last answer."""
+    """Reply to `SharedState` for one cold worker, in shares of its whole budget for a window.
+
+    `sent_share`: what this dispatcher has sent lately.  `requested_share`: the largest share that its jobs
+    would have needed since the last reply.
+    """
 
     worker: str
     sent_share: float
@@ -365,7 +375,7 @@
 
 @dataclass(slots=True)
 class Probe:
-    """Ask a worker for its load."""
+    """Request a worker's load report."""
 
     worker: str
 
