--- a/molespur/discovery_retry.py
+++ b/molespur/discovery_retry.py
@@ -1,34 +1,35 @@
-"""How long to wait before discovery is asked again after a failure.  Pure; times are milliseconds."""
+"""Delay before discovery is called again after a failed call.  Does no I/O; times are milliseconds."""
 
 from random import Random
 
-EACH_MS, WITHIN = 200.0, 0.8  # time for each dispatcher's asking; share of the longest time unasked
+CALL_INTERVAL_MS = 200.0  # time allowed for each dispatcher's call
+DEADLINE_SHARE = 0.8  # share of the max time without a call within which the first retries come
 
 
 class DiscoveryRetry:
-    """Waits that double with each failure, drawn at random, since the whole fleet may ask at once."""
+    """Exponential backoff with random delays, since all dispatchers may call at once."""
 
     def __init__(self, random: Random):
         self.failures = 0  # so far
         self._random = random
-        self._first = self._longest = 0.0
-        self._wait: float | None = None
-
-    def set(self, dispatchers: int, must_ask_in: float) -> None:
-        """Go by so many dispatchers, and the longest time that may pass unasked (0: any)."""
-        all_asked = EACH_MS * dispatchers
-        self._first = min(all_asked, WITHIN * must_ask_in or all_asked)
-        self._longest = max(must_ask_in / 2, 2 * all_asked)
-        if self._wait is None:
-            self._wait = self._first
-
-    def failed(self) -> float:
-        """Count a failure; the wait before the next call."""
+        self._initial_ms = self._max_ms = 0.0
+        self._delay_ms: float | None = None
+
+    def configure(self, dispatchers: int, must_ask_in_ms: float) -> None:
+        """Set the number of dispatchers, and the max time without a call (0: no limit)."""
+        all_calls_ms = CALL_INTERVAL_MS * dispatchers
+        self._initial_ms = min(all_calls_ms, DEADLINE_SHARE * must_ask_in_ms or all_calls_ms)
+        self._max_ms = max(must_ask_in_ms / 2, 2 * all_calls_ms)
+        if self._delay_ms is None:
+            self._delay_ms = self._initial_ms
+
+    def record_failure(self) -> float:
+        """Count a failed call, and return the delay before the next one."""
         self.failures += 1
-        wait = self._wait * self._random.random()
-        self._wait = min(self._wait * 2, self._longest)
-        return wait
+        delay_ms = self._delay_ms * self._random.random()
+        self._delay_ms = min(self._delay_ms * 2, self._max_ms)
+        return delay_ms
 
-    def succeeded(self) -> None:
-        """All is well: the next failure starts from the first wait."""
-        self._wait = self._first
+    def record_success(self) -> None:
+        """Start again from the initial delay at the next failure."""
+        self._delay_ms = self._initial_ms
--- a/molespur/linear.py
+++ b/molespur/linear.py
@@ -1,8 +1,8 @@
-"""Linear equations, for the model's fit.  Pure."""
+"""Linear equations, for fitting the finish-time model.  Does no I/O."""
 
 
 def solve(rows: list[list[float]]) -> list[float]:
-    """Solve a small symmetric positive system, its right side as the last column, by elimination in place."""
+    """Solve a small symmetric positive-definite system in place; the last column is its right side."""
     for i, pivot in enumerate(rows):
         for j, row in enumerate(rows):
             if j != i and row[i]:
--- a/molespur/load_report.py
+++ b/molespur/load_report.py
@@ -1,20 +1,20 @@
-"""A worker's load report, and what it tells of the worker's slots.  Pure.
+"""A worker's load report, and what follows from it for the worker's slots.  Does no I/O.
 
-Deployments differ in the fields that their reports have (`io.AttemptEnded.report`, `io.ProbeEnded.report`).
+Deployments differ in the fields of their reports (`AttemptEnded.report`, `ProbeEnded.report`).
 """
 
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-MOST_UTIL = 0.8  # nearer to full, the free slots of a report say too little of how many there are
-ERROR_SHARE, LEAST_ERRORS_PER_S = 0.25, 0.5  # of the requests a second; both exceeded by a failing worker
+MAX_UTIL = 0.8  # above it, the free slots are too few to estimate the number of slots
+MIN_ERROR_SHARE, MIN_ERRORS_PER_S = 0.25, 0.5  # a failing worker exceeds both
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """Figures of a report; None where it does not tell them.
+    """Fields of a report; None where it lacks them.
 
-    `util` is a share of all slots, `qps` and `errors_per_s` are rates a second, all others count slots.
+    `util` is a share of all slots, `qps` and `errors_per_s` are rates per second, all others count slots.
     """
 
     free_slots: float | None = None
@@ -26,34 +26,34 @@
     errors_per_s: float = 0.0
 
     @classmethod
-    def read(cls, fields: Mapping[str, float]) -> "LoadReport":
-        """The report of these fields; those of other names are skipped."""
+    def from_fields(cls, fields: Mapping[str, float]) -> "LoadReport":
+        """Build a report from these fields; unknown ones are ignored."""
         return cls(**{name: value for name, value in fields.items() if name in cls.__slots__})
 
     @property
-    def tells_load(self) -> bool:
-        """Whether it tells anything of the slots in use."""
-        return any(figure is not None for figure in (self.free_slots, self.inflight, self.util))
+    def has_load(self) -> bool:
+        """Whether the report has any field that shows the slots in use."""
+        return any(value is not None for value in (self.free_slots, self.inflight, self.util))
 
     @property
     def slots(self) -> int | None:
-        """How many slots the worker seems to have; None where that can't be told."""
+        """Number of slots that the worker seems to have; None where the fields don't show it."""
         if self.free_slots is None:
             return None
         if self.inflight is not None:
             return round(max(self.inflight - self.queue, 0.0) + self.free_slots)
-        if self.util is not None and self.free_slots >= 1 and self.util < MOST_UTIL:
+        if self.util is not None and self.free_slots >= 1 and self.util < MAX_UTIL:
             return round(self.free_slots / (1 - self.util))
         return None
 
     def used(self, slots: float) -> float:
-        """Slots asked for of so many, queued requests included."""
+        """Slots in use or waited for, on a worker with this number of slots."""
         if self.free_slots is not None:
             free = self.free_slots if self.free_memory is None else min(self.free_slots, self.free_memory)
             return slots - free + self.queue
         return self.inflight if self.inflight is not None else self.util * slots + self.queue
 
     @property
-    def failing(self) -> bool:
-        """Whether a large part of its requests end in errors."""
-        return self.errors_per_s > max(ERROR_SHARE * self.qps, LEAST_ERRORS_PER_S)
+    def is_failing(self) -> bool:
+        """Whether a large part of the worker's requests end in errors."""
+        return self.errors_per_s > max(MIN_ERROR_SHARE * self.qps, MIN_ERRORS_PER_S)
--- a/molespur/logic.py
+++ b/molespur/logic.py
@@ -56,7 +56,7 @@
 
     def __init__(self, settings, seed):
         self.rng, self.classes, self.quotas = Random(seed), {}, Quotas()
-        self.discovery_retry = DiscoveryRetry(self.rng)
+        self.watch_retry = DiscoveryRetry(self.rng)
         self._on_settings_changed(interface.SettingsChanged(settings))
         self.preferred, self.workers, self.live, self.pools, self.jobs, self.held = {}, {}, [], {}, {}, []
         # preferred: key -> {worker id: match}; live: in service, own subset first; pools: by (kind, group)
@@ -69,7 +69,7 @@
         self.shared = interface.SharedState()
         self.handlers = {
             interface.Submitted: self._on_submitted, interface.AttemptEnded: self._on_attempt_ended,
-            interface.Progressed: self._on_progressed, interface.TimerFired: self.timers.fired,
+            interface.Progressed: self._on_progressed, interface.TimerFired: self.timers.on_timer,
             interface.FleetUpdate: self._on_fleet_update, interface.ClientGone: self._on_client_gone,
             interface.ProbeEnded: self._on_probe_ended, interface.StreamBegun: self._on_stream_begun,
             interface.Started: self._on_started, interface.SettingsChanged: self._on_settings_changed,
@@ -84,15 +84,15 @@
         self.settings = s
         self.subset_size = max(int(s.cpu_per_request_us), 2) if s.cpu_per_request_us else SUBSET_SIZE
         self.extra_dispatchers = max(s.balancers - SMALL_FLEET, 0)
-        self.discovery_retry.set(s.balancers, s.must_ask_in_ms)
+        self.watch_retry.configure(s.balancers, s.must_ask_in_ms)
         rates = {t.name: t.quota_per_s / s.balancers for t in s.tenants if t.quota_per_s}
-        self.quotas.set(rates, QUOTA_BURST_JOBS if self.extra_dispatchers else 1.0)
+        self.quotas.configure(rates, QUOTA_BURST_JOBS if self.extra_dispatchers else 1.0)
 
     def handle(self, now, event):
         """Take one event at time now (ms) and return the actions it calls for, in order."""
         self.now, self.timers.now, self.actions = now, now, []
         self.handlers[type(event)](event)
-        if (delay := self.timers.wake_up_in()) is not None:
+        if (delay := self.timers.next_delay_ms()) is not None:
             self.actions.append(interface.SetTimer(delay, "due"))
         return self.actions
 
@@ -117,16 +117,16 @@
 
     def _subscribe(self, failures):
         """Watch discovery.  Each call gets a reply, and only its failure causes the next call."""
-        if failures == self.discovery_retry.failures:  # guards against calls that double at each error
+        if failures == self.watch_retry.failures:  # guards against calls that double at each error
             self.actions.append(interface.Watch())
 
     def _on_fleet_update(self, event):
         if event.mode is UpdateMode.ERROR:
             # guards against dispatchers that call in step, or so often that discovery answers no call in time
-            self.timers.after(self.discovery_retry.failed(), self._subscribe, self.discovery_retry.failures)
+            self.timers.after(self.watch_retry.record_failure(), self._subscribe, self.watch_retry.failures)
             return
         if event.mode is not UpdateMode.PERSISTED:
-            self.discovery_retry.succeeded()
+            self.watch_retry.record_success()
         for worker in () if event.mode is UpdateMode.PARTIAL else self.workers.values():
             worker.in_service = False
         for entry in event.entries:
@@ -169,8 +169,8 @@
 
     def _apply_report(self, w, fields):
         """Take in a load report: slots used by other dispatchers as of about REPORT_LAG_MS ago."""
-        report = LoadReport.read(fields)
-        if not report.tells_load:
+        report = LoadReport.from_fields(fields)
+        if not report.has_load:
             return
         if report.slots is not None:
             w.learn_slots(report.slots)
@@ -180,7 +180,7 @@
         cold, self.has_reports = self._warmth(w) < 1, True
         # guards against an estimate from own jobs and the number of dispatchers: mostly noise for few jobs
         self.others_load[cold] += LOAD_GAIN * (min(w.other_slots / w.slots, 2.0) - self.others_load[cold])
-        if report.failing:
+        if report.is_failing:
             self._eject(w)
 
     def _back_off(self, w):
@@ -574,7 +574,7 @@
         slope = w.prior_slope * self.model.pace(w.kind)
         capacity = self._warmth(w) * w.slots / slope * self.settings.cold_window_ms
         limit = max(min(COLD_BUDGET_SHARE * self.settings.cold_multiple, COLD_LOAD) * capacity, 1e-9)
-        return capacity, limit, w.cold_work.since(self.now - self.settings.cold_window_ms)
+        return capacity, limit, w.cold_work.sum_since(self.now - self.settings.cold_window_ms)
 
     def _cold_allows(self, worker, job):
         """Rule 4: whether this dispatcher's share of a cold worker's budget has room for the job."""
