--- a/molespur/lifecycle.py
+++ b/molespur/lifecycle.py
@@ -29,7 +29,7 @@
     HANDING_OVER = "handing over"
 
 
-class Told(Enum):
+class ProcessEvent(Enum):
     """What happens to it."""
 
     READY = "ready"  # it listens and can serve
@@ -37,7 +37,7 @@
     ACTIVATE = "activate"
     STOP = "stop"  # SIGTERM
     SUCCESSOR = "successor"  # another process serves at the same address
-    ALONE = "alone"  # that process is no more
+    SUCCESSOR_GONE = "alone"  # that process is no more
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,25 +64,25 @@
         self._stop_ms = 0.0  # and how long that takes
         self.handed: float | None = None  # since when a successor serves
 
-    def tell(self, now: float, told: Told) -> str | None:
+    def handle(self, now: float, told: ProcessEvent) -> str | None:
         """Take in what happened; where it can't be done, say why."""
-        if told is Told.READY:
+        if told is ProcessEvent.READY:
             self.ready = True
-        elif told is Told.STOP:
+        elif told is ProcessEvent.STOP:
             if self.stopped is None:
                 # what the platform counts from: settings that change after it change nothing in it
                 self.stopped, self._stop_ms = now, self.stop_ms
-        elif told is Told.SUCCESSOR:
+        elif told is ProcessEvent.SUCCESSOR:
             # a listener that was left stays left: what comes of the successor after that changes nothing
             if self.handed is None and self.stance(now).accepting:
                 self.handed = now
-        elif told is Told.ALONE:
+        elif told is ProcessEvent.SUCCESSOR_GONE:
             # a listener that was left can't be taken up again: then the stop goes on as it was
             if self.stance(now).accepting:
                 self.handed = None
         elif self.stopped is not None:
             return "stopping"
-        elif told is Told.EVACUATE:
+        elif told is ProcessEvent.EVACUATE:
             self.drained = now if self.drained is None else self.drained
         else:
             self.drained = None
--- a/molespur/net/service.py
+++ b/molespur/net/service.py
@@ -3,7 +3,7 @@
 import trio
 
 from .. import logs
-from ..lifecycle import Process, Stance, Told
+from ..lifecycle import Process, ProcessEvent, Stance
 
 log = logs.get(__name__)
 
@@ -27,9 +27,9 @@
         self.process.longest_ms = max(c.deadline_ms for c in settings.classes)
         self._take_stance()
 
-    def tell(self, told: Told) -> str | None:
+    def tell(self, told: ProcessEvent) -> str | None:
         """Something has happened; the answer says why it can't be done, if so."""
-        why = self.process.tell(self.clock.now(), told)
+        why = self.process.handle(self.clock.now(), told)
         self._take_stance()
         return why
 
--- a/molespur/operations/calls.py
+++ b/molespur/operations/calls.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from ..lifecycle import Stance, Told
+from ..lifecycle import ProcessEvent, Stance
 
 LINE_MOST = 256  # bytes of a call; the longest that makes sense has nine
 
@@ -12,7 +12,7 @@
 
     def __init__(
         self,
-        tell: Callable[[Told], str | None],
+        tell: Callable[[ProcessEvent], str | None],
         stance: Callable[[], Stance],
         figures: Callable[[], list[str]],
         fleet: Callable[[str], list[str] | None] = lambda what: None,
@@ -28,7 +28,7 @@
         if call == b"telemetry":
             return [*self._figures(), "eof"]
         if call in (b"evacuate", b"activate"):
-            why = self._tell(Told(call.decode()))
+            why = self._tell(ProcessEvent(call.decode()))
             return [f"fail {why}" if why else "ok"]
         if call in (b"fleet members", b"fleet counters", b"fleet budgets", b"fleet load"):
             what = call.decode().split()[1]
--- a/molespur/replacement/succession.py
+++ b/molespur/replacement/succession.py
@@ -6,7 +6,7 @@
 import trio
 
 from .. import logs
-from ..lifecycle import Told
+from ..lifecycle import ProcessEvent
 from .files import Rendezvous
 from .steer import steer
 from .view import Record, View, sockets_for, used_to_tell, view
@@ -82,9 +82,9 @@
         if seen.succeeded:
             # those that serve stand in the order of their starts, so the latest is the last of them
             steer(self.socket, seen.others)
-            self.service.tell(Told.SUCCESSOR)
+            self.service.tell(ProcessEvent.SUCCESSOR)
         elif self._seen is not None and self._seen[1]:
-            self.service.tell(Told.ALONE)
+            self.service.tell(ProcessEvent.SUCCESSOR_GONE)
         self._seen = now
 
     def _resize(self, others: list[Record]) -> None:
--- a/molespur/scheduler.py
+++ b/molespur/scheduler.py
@@ -9,7 +9,7 @@
 from . import logs
 from .config import ClusterList
 from .interface import Started
-from .lifecycle import Told
+from .lifecycle import ProcessEvent
 from .logic import Dispatcher
 from .net.cluster import Cluster, Placed
 from .net.counters import Counters
@@ -106,7 +106,7 @@
         self.nursery.start_soon(self.downstream.listen, listener, self.nursery)
         if self.succession is not None:
             self.succession.serving(self.service, listener.socket, self.listed)
-        self.service.tell(Told.READY)
+        self.service.tell(ProcessEvent.READY)
         try:
             await self.service.gone(listener)
         finally:
@@ -125,7 +125,7 @@
             self.fleet.leave()
         if self.fleet_record is not None:
             self.fleet_record.leave()
-        self.service.tell(Told.STOP)
+        self.service.tell(ProcessEvent.STOP)
 
     def line(self) -> str:
         """All counts as one line for the log."""
--- a/tests/operations/test_calls.py
+++ b/tests/operations/test_calls.py
@@ -4,7 +4,7 @@
 import trio
 from trio.testing import MockClock, memory_stream_pair, wait_all_tasks_blocked
 
-from molespur.lifecycle import Process, Told
+from molespur.lifecycle import Process, ProcessEvent
 from molespur.net.counters import BAD_GATEWAY, DROPPED, PASSED, TRIES, Counters, end_of
 from molespur.net.wheel import Wheel
 from molespur.operations.calls import Calls
@@ -13,7 +13,7 @@
 
 
 def make_calls(process, lines=("app.loads=0",)):
-    return Calls(lambda told: process.tell(0.0, told), lambda: process.stance(0.0), lambda: list(lines))
+    return Calls(lambda told: process.handle(0.0, told), lambda: process.stance(0.0), lambda: list(lines))
 
 
 @pytest.mark.parametrize(
@@ -36,7 +36,7 @@
 )
 def test_each_call_has_an_answer(line, answer):
     process = Process()
-    process.tell(0.0, Told.READY)
+    process.handle(0.0, ProcessEvent.READY)
     lines = make_calls(process).answer(line)
     assert " ".join(lines).startswith(answer) and all("\n" not in one for one in lines)
     assert lines[0].startswith(("ok", "fail")) or lines[-1] == "eof"
@@ -47,13 +47,13 @@
     process = Process()
     calls = make_calls(process)
     assert calls.answer(b"readyz") == ["fail starting"]
-    process.tell(0.0, Told.READY)
+    process.handle(0.0, ProcessEvent.READY)
     assert calls.answer(b"readyz") == ["ok"]
     calls.answer(b"evacuate")
     assert calls.answer(b"readyz") == ["fail draining"]
     calls.answer(b"activate")
     assert calls.answer(b"readyz") == ["ok"]
-    process.tell(0.0, Told.STOP)
+    process.handle(0.0, ProcessEvent.STOP)
     assert calls.answer(b"readyz")[0] == calls.answer(b"evacuate")[0] == "fail stopping"
 
 
@@ -76,7 +76,7 @@
     async def main():
         async with trio.open_nursery() as nursery:
             wheel, counters, process = Wheel(4.0), Counters(), Process()
-            process.tell(0.0, Told.READY)
+            process.handle(0.0, ProcessEvent.READY)
             operations = Operations(make_calls(process), wheel, counters)
             nursery.start_soon(wheel.run)
 
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -41,7 +41,7 @@
 from molespur.config.deployment import ClusterPart, Deployment
 from molespur.config.deployment import Registry as RegistryPart
 from molespur.interface import Lifecycle, Started
-from molespur.lifecycle import Told
+from molespur.lifecycle import ProcessEvent
 from molespur.net.cluster import Cluster
 from molespur.net.counters import Counters
 from molespur.net.discovery import Discovery
@@ -138,7 +138,7 @@
         nursery.start_soon(self.wheel.run)
         self.host.deliver(Started())
         self.cluster.start()
-        self.service.tell(Told.READY)
+        self.service.tell(ProcessEvent.READY)
         self.start = trio.current_time()
 
     async def dial(self, address):
@@ -311,7 +311,7 @@
             await peer.stream.aclose()
             assert head.status_code == {"yes": 200, "no": 503}[words[0]], head
             return
-        why = self.service.tell(Told(verb))
+        why = self.service.tell(ProcessEvent(verb))
         assert (why or "") == " ".join(words), why
         if verb == "stop":
             listener = types.SimpleNamespace(aclose=trio.lowlevel.checkpoint)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -15,7 +15,7 @@
 from sockets import chunk, done, listing, on_loopback, profiles_with, request, settings_with, settle
 
 from molespur.interface import Lifecycle
-from molespur.lifecycle import Told
+from molespur.lifecycle import ProcessEvent
 from molespur.net import downstream
 
 SLOW_DIAL = settings_with(limits={"dialTimeout": 5000.0})
@@ -366,7 +366,7 @@
 async def test_an_idle_connection_is_shut_before_it_is_closed_and_what_crosses_that_is_not_served(site):
     a = await site.client()
     worker = await serve_one(site, a, "r1")
-    site.scheduler.service.tell(Told.STOP)
+    site.scheduler.service.tell(ProcessEvent.STOP)
     await site.pass_ms(2550)
     await a.send(request("r2"))
     assert await a.read_to_end() == b""
@@ -379,7 +379,7 @@
 
 @on_loopback
 async def test_what_was_read_before_the_last_answer_of_a_drain_is_answered_too(site):
-    site.scheduler.service.tell(Told.STOP)
+    site.scheduler.service.tell(ProcessEvent.STOP)
     await site.pass_ms(2400)
     a = await site.client()
     await a.send(request("r1") + request("r2") + request("r3")[:40])
@@ -405,7 +405,7 @@
     await a.send(request("r1") + request("r2"))
     worker = await site.workers[0].accept()
     await worker.read(b"\r\n\r\nhi")
-    site.scheduler.service.tell(Told.STOP)
+    site.scheduler.service.tell(ProcessEvent.STOP)
     await site.pass_ms(3450)
     answers = await a.read_to_end()
     assert answers.count(b"HTTP/1.1 502 ") == 1 and answers.count(b"HTTP/1.1 503 ") == 1
@@ -416,7 +416,7 @@
 
 @on_loopback
 async def test_who_connected_just_before_the_listener_closed_is_served(site):
-    site.scheduler.service.tell(Told.STOP)
+    site.scheduler.service.tell(ProcessEvent.STOP)
     await site.pass_ms(2450)
     with socket.create_connection(site.address) as late:
         await site.pass_ms(100)
@@ -669,7 +669,7 @@
     await a.send(request("r1"))
     first = await site.workers[at := await_first(site)].accept()
     await first.read(b"\r\n\r\nhi")
-    site.scheduler.service.tell(Told.STOP)
+    site.scheduler.service.tell(ProcessEvent.STOP)
     await site.pass_ms(500)
     with tempfile.TemporaryDirectory() as folder:
         await site.reload(pathlib.Path(folder) / "file", profiles=profiles_with(lookup=None))
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -11,7 +11,7 @@
 from trio.testing import MockClock
 
 from molespur.interface import Outcome
-from molespur.lifecycle import Told
+from molespur.lifecycle import ProcessEvent
 from molespur.net.failure import Cause, Stage
 from molespur.net.upstream import UpstreamRequest
 from molespur.scheduler import Scheduler
@@ -638,4 +638,4 @@
     parts = {"succession": SimpleNamespace(look=look), "service": SimpleNamespace(tell=told.append)}
     parts |= {"fleet": None, "fleet_record": None}
     Scheduler.stop(SimpleNamespace(**parts))
-    assert told == [Told.STOP]
+    assert told == [ProcessEvent.STOP]
--- a/tests/test_stream_machine.py
+++ b/tests/test_stream_machine.py
@@ -10,7 +10,7 @@
 from molespur import Dispatcher, Settings
 from molespur import interface as io
 from molespur.interface import Lifecycle, UpdateMode
-from molespur.lifecycle import Process, Told
+from molespur.lifecycle import Process, ProcessEvent
 from molespur.net.counters import Counters
 from molespur.net.failure import Cause, Failure, Served, Stage
 from molespur.net.host import Arrival, Host
@@ -205,14 +205,14 @@
         super().__init__()
         self.process, self.now, self.before = Process(), 0.0, None
 
-    @rule(told=st.sampled_from(list(Told)), longest=st.sampled_from([500.0, 2200.0, 6000.0]))
+    @rule(told=st.sampled_from(list(ProcessEvent)), longest=st.sampled_from([500.0, 2200.0, 6000.0]))
     def tell(self, told, longest):
         self.process.longest_ms = longest
-        if told is Told.STOP and self.process.stopped is None:
+        if told is ProcessEvent.STOP and self.process.stopped is None:
             self.longest = longest
-        why = self.process.tell(self.now, told)
+        why = self.process.handle(self.now, told)
         assert (why is not None) == (
-            self.process.stopped is not None and told in (Told.EVACUATE, Told.ACTIVATE)
+            self.process.stopped is not None and told in (ProcessEvent.EVACUATE, ProcessEvent.ACTIVATE)
         )
 
     @rule(ms=st.sampled_from([1.0, 99.0, 500.0, 2500.0]))
