--- a/molespur/lifecycle.py
+++ b/molespur/lifecycle.py
@@ -41,16 +41,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stance:
+class ServingState:
     """What holds at a time."""
 
     phase: Phase
     up: bool  # the answer to those who ask whether to send clients here
     closing: bool  # connections close after each answer, and idle ones at once
     accepting: bool  # the listener takes connections
-    keeping: bool  # connections to upstream hosts are kept between requests
+    keeps_upstream: bool  # connections to upstream hosts are kept between requests
     ended: bool  # what is still open is answered now
-    until: float  # when this changes by itself
+    changes_at: float  # when this changes by itself
 
 
 class Process:
@@ -74,11 +74,11 @@
                 self.stopped, self._stop_ms = now, self.stop_ms
         elif told is ProcessEvent.SUCCESSOR:
             # a listener that was left stays left: what comes of the successor after that changes nothing
-            if self.handed is None and self.stance(now).accepting:
+            if self.handed is None and self.serving_state(now).accepting:
                 self.handed = now
         elif told is ProcessEvent.SUCCESSOR_GONE:
             # a listener that was left can't be taken up again: then the stop goes on as it was
-            if self.stance(now).accepting:
+            if self.serving_state(now).accepting:
                 self.handed = None
         elif self.stopped is not None:
             return "stopping"
@@ -103,7 +103,7 @@
             return Phase.DRAINING
         return Phase.SERVING if self.ready else Phase.STARTING
 
-    def stance(self, now: float) -> Stance:
+    def serving_state(self, now: float) -> ServingState:
         """What holds now."""
         close = leave = end = NEVER
         # in the successor's name nobody is told no: the address is its own too
@@ -124,7 +124,7 @@
             close = min(close, leave)
         changes = [at for at in (close, leave, end) if at > now]
         accepting = leave > now
-        return Stance(
+        return ServingState(
             self.phase, up and accepting, close <= now, accepting, self.handed is None, end <= now,
             min(changes, default=NEVER),
         )  # fmt: skip
--- a/molespur/net/service.py
+++ b/molespur/net/service.py
@@ -3,7 +3,7 @@
 import trio
 
 from .. import logs
-from ..lifecycle import Process, ProcessEvent, Stance
+from ..lifecycle import Process, ProcessEvent, ServingState
 
 log = logs.get(__name__)
 
@@ -19,8 +19,8 @@
         self._taken = self.stance()
         self.retune(host.settings)
 
-    def stance(self) -> Stance:
-        return self.process.stance(self.clock.now())
+    def stance(self) -> ServingState:
+        return self.process.serving_state(self.clock.now())
 
     def retune(self, settings) -> None:
         """Other settings hold: a stop takes as long as the longest deadline asks."""
@@ -35,15 +35,15 @@
 
     def _take_stance(self) -> None:
         now, before = self.clock.now(), self._taken
-        stance = self._taken = self.process.stance(now)
+        stance = self._taken = self.process.serving_state(now)
         if stance.phase is not before.phase:
             log.info("service.phase", now=stance.phase.value, before=before.phase.value)
         self.downstream.up = stance.up
         self.downstream.closing, self.downstream.ended = stance.closing, stance.ended
         if stance.closing and not before.closing:
             self.downstream.close_idle()
-        if stance.keeping is not before.keeping:
-            self.host.upstream.keep(stance.keeping)
+        if stance.keeps_upstream is not before.keeps_upstream:
+            self.host.upstream.keep(stance.keeps_upstream)
         if before.accepting and not stance.accepting:
             self.downstream.stop_accepting()
             self.left.set()
@@ -52,8 +52,8 @@
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        if stance.until != float("inf"):
-            self._timer = self.wheel.after(stance.until - now, self._take_stance)
+        if stance.changes_at != float("inf"):
+            self._timer = self.wheel.after(stance.changes_at - now, self._take_stance)
 
     async def gone(self, listener) -> None:
         """Come back once the listener is left and all that was taken is answered."""
--- a/molespur/operations/calls.py
+++ b/molespur/operations/calls.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from ..lifecycle import ProcessEvent, Stance
+from ..lifecycle import ProcessEvent, ServingState
 
 LINE_MOST = 256  # bytes of a call; the longest that makes sense has nine
 
@@ -13,7 +13,7 @@
     def __init__(
         self,
         tell: Callable[[ProcessEvent], str | None],
-        stance: Callable[[], Stance],
+        stance: Callable[[], ServingState],
         figures: Callable[[], list[str]],
         fleet: Callable[[str], list[str] | None] = lambda what: None,
     ):
--- a/tests/operations/test_calls.py
+++ b/tests/operations/test_calls.py
@@ -13,7 +13,9 @@
 
 
 def make_calls(process, lines=("app.loads=0",)):
-    return Calls(lambda told: process.handle(0.0, told), lambda: process.stance(0.0), lambda: list(lines))
+    return Calls(
+        lambda told: process.handle(0.0, told), lambda: process.serving_state(0.0), lambda: list(lines)
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -67,7 +67,7 @@
     ],
 )  # fmt: skip
 def test_what_holds(steps, at, phase, up, closing, accepting, ended):
-    stance = process_after(*steps).stance(at)
+    stance = process_after(*steps).serving_state(at)
     assert (stance.phase, stance.up, stance.closing, stance.accepting, stance.ended) == (
         phase, up, closing, accepting, ended,
     )  # fmt: skip
@@ -87,32 +87,32 @@
     process.longest_ms = 1000.0
     process.handle(10, STOP)
     process.longest_ms = 9000.0
-    assert not process.stance(10 + 1399).ended and process.stance(10 + 1400).ended
-    assert process.stance(10 + 499).accepting and not process.stance(10 + 501).accepting
+    assert not process.serving_state(10 + 1399).ended and process.serving_state(10 + 1400).ended
+    assert process.serving_state(10 + 499).accepting and not process.serving_state(10 + 501).accepting
 
 
 def test_settings_that_change_in_a_drain_change_nothing_in_it():
     process = process_after(START, (10, EVACUATE))
-    before = process.stance(500)
+    before = process.serving_state(500)
     process.longest_ms = 1000.0
-    assert process.stance(500) == before
+    assert process.serving_state(500) == before
 
 
 def test_in_each_order_a_stop_ends_and_what_was_left_stays_left():
     for order in itertools.product(ProcessEvent, repeat=4):
         process = process_after(*((100 * i, what) for i, what in enumerate(order)))
         stops = [100 * i for i, what in enumerate(order) if what is STOP]
-        end = process.stance(1e9)
+        end = process.serving_state(1e9)
         if stops:
             assert end.ended and end.closing and not end.accepting and not end.up, order
-            assert process.stance(stops[0] + STOP_MS).ended, order
-            assert not process.stance(stops[0] + STOP_MS - 1).ended, order
+            assert process.serving_state(stops[0] + STOP_MS).ended, order
+            assert not process.serving_state(stops[0] + STOP_MS - 1).ended, order
         else:
             assert end.accepting and not end.ended, order
             assert end.up == (READY in order and process.drained is None), order
         # a yes is given only by one that takes clients
         for at in range(0, 5000, 50):
-            stance = process.stance(at)
+            stance = process.serving_state(at)
             assert stance.accepting or not stance.up, order
 
 
@@ -121,15 +121,15 @@
     """Between what it is told, nothing changes but at the times that the stance names."""
     process, now = Process(), 0.0
     for wait, what in steps:
-        stance = process.stance(now)
-        while stance.until <= now + wait:
-            before = process.stance(max(now, stance.until - 1e-3))
+        stance = process.serving_state(now)
+        while stance.changes_at <= now + wait:
+            before = process.serving_state(max(now, stance.changes_at - 1e-3))
             assert (before.closing, before.accepting, before.ended) == (
                 stance.closing, stance.accepting, stance.ended,
             )  # fmt: skip
-            now, wait = stance.until, wait - (stance.until - now)
-            after = process.stance(now)
-            assert after != stance and after.until > now
+            now, wait = stance.changes_at, wait - (stance.changes_at - now)
+            after = process.serving_state(now)
+            assert after != stance and after.changes_at > now
             # an end stays an end
             assert (after.ended, not after.accepting) >= (stance.ended, not stance.accepting)
             stance = after
--- a/tests/test_stream_machine.py
+++ b/tests/test_stream_machine.py
@@ -221,8 +221,8 @@
 
     @invariant()
     def holds(self):
-        stance, before = self.process.stance(self.now), self.before
-        assert stance.until > self.now
+        stance, before = self.process.serving_state(self.now), self.before
+        assert stance.changes_at > self.now
         assert not (stance.up and not stance.accepting)
         assert stance.accepting or stance.closing  # who is not taken on is not kept either
         assert not stance.ended or not stance.accepting
