--- a/molespur/lifecycle.py
+++ b/molespur/lifecycle.py
@@ -53,53 +53,53 @@
     changes_at: float  # when this changes by itself
 
 
-class Process:
+class ProcessLifecycle:
     """The state: what it was told, and when."""
 
     def __init__(self):
         self.ready = False
-        self.longest_ms = KILL_MS  # the longest deadline of a class
-        self.drained: float | None = None  # since when it is to drain
-        self.stopped: float | None = None  # when it was told to stop
+        self.max_deadline_ms = KILL_MS  # the longest deadline of a class
+        self.draining_since: float | None = None  # since when it is to drain
+        self.stopping_since: float | None = None  # when it was told to stop
         self._stop_ms = 0.0  # and how long that takes
-        self.handed: float | None = None  # since when a successor serves
+        self.successor_since: float | None = None  # since when a successor serves
 
     def handle(self, now: float, told: ProcessEvent) -> str | None:
         """Take in what happened; where it can't be done, say why."""
         if told is ProcessEvent.READY:
             self.ready = True
         elif told is ProcessEvent.STOP:
-            if self.stopped is None:
+            if self.stopping_since is None:
                 # what the platform counts from: settings that change after it change nothing in it
-                self.stopped, self._stop_ms = now, self.stop_ms
+                self.stopping_since, self._stop_ms = now, self.stop_ms
         elif told is ProcessEvent.SUCCESSOR:
             # a listener that was left stays left: what comes of the successor after that changes nothing
-            if self.handed is None and self.serving_state(now).accepting:
-                self.handed = now
+            if self.successor_since is None and self.serving_state(now).accepting:
+                self.successor_since = now
         elif told is ProcessEvent.SUCCESSOR_GONE:
             # a listener that was left can't be taken up again: then the stop goes on as it was
             if self.serving_state(now).accepting:
-                self.handed = None
-        elif self.stopped is not None:
+                self.successor_since = None
+        elif self.stopping_since is not None:
             return "stopping"
         elif told is ProcessEvent.EVACUATE:
-            self.drained = now if self.drained is None else self.drained
+            self.draining_since = now if self.draining_since is None else self.draining_since
         else:
-            self.drained = None
+            self.draining_since = None
         return None
 
     @property
     def stop_ms(self) -> float:
         """How long after SIGTERM, if it came now, all is answered."""
-        return min(self.longest_ms, KILL_MS) + KILL_AFTER_MS - SPARE_MS
+        return min(self.max_deadline_ms, KILL_MS) + KILL_AFTER_MS - SPARE_MS
 
     @property
     def phase(self) -> Phase:
-        if self.handed is not None:
+        if self.successor_since is not None:
             return Phase.HANDING_OVER
-        if self.stopped is not None:
+        if self.stopping_since is not None:
             return Phase.STOPPING
-        if self.drained is not None:
+        if self.draining_since is not None:
             return Phase.DRAINING
         return Phase.SERVING if self.ready else Phase.STARTING
 
@@ -107,24 +107,28 @@
         """What holds now."""
         close = leave = end = NEVER
         # in the successor's name nobody is told no: the address is its own too
-        up = self.ready and self.drained is None and (self.stopped is None or self.handed is not None)
-        if self.drained is not None:
-            close = self.drained + SETTLE_MS
-        if self.handed is not None:
-            close = min(close, self.handed)
-        if self.stopped is not None:
-            end = self.stopped + self._stop_ms
-            if self.handed is not None:
-                leave = max(self.stopped, self.handed) + EMPTY_MS
-            elif self.drained is not None:
-                leave = self.stopped + LATE_CLIENTS_MS
+        up = (
+            self.ready
+            and self.draining_since is None
+            and (self.stopping_since is None or self.successor_since is not None)
+        )
+        if self.draining_since is not None:
+            close = self.draining_since + SETTLE_MS
+        if self.successor_since is not None:
+            close = min(close, self.successor_since)
+        if self.stopping_since is not None:
+            end = self.stopping_since + self._stop_ms
+            if self.successor_since is not None:
+                leave = max(self.stopping_since, self.successor_since) + EMPTY_MS
+            elif self.draining_since is not None:
+                leave = self.stopping_since + LATE_CLIENTS_MS
             else:
-                leave = self.stopped + max(min(GRACE_MS, self._stop_ms - LEAST_MS), LATE_CLIENTS_MS)
+                leave = self.stopping_since + max(min(GRACE_MS, self._stop_ms - LEAST_MS), LATE_CLIENTS_MS)
             leave = min(leave, end)
             close = min(close, leave)
         changes = [at for at in (close, leave, end) if at > now]
         accepting = leave > now
         return ServingState(
-            self.phase, up and accepting, close <= now, accepting, self.handed is None, end <= now,
+            self.phase, up and accepting, close <= now, accepting, self.successor_since is None, end <= now,
             min(changes, default=NEVER),
         )  # fmt: skip
--- a/molespur/net/service.py
+++ b/molespur/net/service.py
@@ -3,7 +3,7 @@
 import trio
 
 from .. import logs
-from ..lifecycle import Process, ProcessEvent, ServingState
+from ..lifecycle import ProcessEvent, ProcessLifecycle, ServingState
 
 log = logs.get(__name__)
 
@@ -12,7 +12,7 @@
     """The process as a service: what it is told, and what follows for clients' connections and streams."""
 
     def __init__(self, downstream, host, clock, wheel):
-        self.process = Process()
+        self.process = ProcessLifecycle()
         self.downstream, self.host, self.clock, self.wheel = downstream, host, clock, wheel
         self.left = trio.Event()  # the listener is to be closed
         self._timer = None
@@ -24,7 +24,7 @@
 
     def retune(self, settings) -> None:
         """Other settings hold: a stop takes as long as the longest deadline asks."""
-        self.process.longest_ms = max(c.deadline_ms for c in settings.classes)
+        self.process.max_deadline_ms = max(c.deadline_ms for c in settings.classes)
         self._take_stance()
 
     def tell(self, told: ProcessEvent) -> str | None:
--- a/tests/operations/test_calls.py
+++ b/tests/operations/test_calls.py
@@ -4,7 +4,7 @@
 import trio
 from trio.testing import MockClock, memory_stream_pair, wait_all_tasks_blocked
 
-from molespur.lifecycle import Process, ProcessEvent
+from molespur.lifecycle import ProcessEvent, ProcessLifecycle
 from molespur.net.counters import BAD_GATEWAY, DROPPED, PASSED, TRIES, Counters, end_of
 from molespur.net.wheel import Wheel
 from molespur.operations.calls import Calls
@@ -37,16 +37,16 @@
     ],
 )
 def test_each_call_has_an_answer(line, answer):
-    process = Process()
+    process = ProcessLifecycle()
     process.handle(0.0, ProcessEvent.READY)
     lines = make_calls(process).answer(line)
     assert " ".join(lines).startswith(answer) and all("\n" not in one for one in lines)
     assert lines[0].startswith(("ok", "fail")) or lines[-1] == "eof"
-    assert process.ready and process.stopped is process.handed is None
+    assert process.ready and process.stopping_since is process.successor_since is None
 
 
 def test_calls_follow_the_state_machine():
-    process = Process()
+    process = ProcessLifecycle()
     calls = make_calls(process)
     assert calls.answer(b"readyz") == ["fail starting"]
     process.handle(0.0, ProcessEvent.READY)
@@ -77,7 +77,7 @@
 
     async def main():
         async with trio.open_nursery() as nursery:
-            wheel, counters, process = Wheel(4.0), Counters(), Process()
+            wheel, counters, process = Wheel(4.0), Counters(), ProcessLifecycle()
             process.handle(0.0, ProcessEvent.READY)
             operations = Operations(make_calls(process), wheel, counters)
             nursery.start_soon(wheel.run)
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -6,14 +6,22 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from molespur.lifecycle import EMPTY_MS, GRACE_MS, LATE_CLIENTS_MS, SETTLE_MS, Phase, Process, ProcessEvent
+from molespur.lifecycle import (
+    EMPTY_MS,
+    GRACE_MS,
+    LATE_CLIENTS_MS,
+    SETTLE_MS,
+    Phase,
+    ProcessEvent,
+    ProcessLifecycle,
+)
 
-STOP_MS = Process().stop_ms
+STOP_MS = ProcessLifecycle().stop_ms
 
 
 def process_after(*events):
     """A process after these events, each with its time."""
-    process = Process()
+    process = ProcessLifecycle()
     for at, event in events:
         process.handle(at, event)
     return process
@@ -82,11 +90,11 @@
 def test_the_longest_deadline_moves_the_stop_but_not_one_that_has_begun():
     process = process_after(START)
     assert process.stop_ms == 3400.0
-    process.longest_ms = 9000.0
+    process.max_deadline_ms = 9000.0
     assert process.stop_ms == 3400.0  # counted as 3 s where it is longer
-    process.longest_ms = 1000.0
+    process.max_deadline_ms = 1000.0
     process.handle(10, STOP)
-    process.longest_ms = 9000.0
+    process.max_deadline_ms = 9000.0
     assert not process.serving_state(10 + 1399).ended and process.serving_state(10 + 1400).ended
     assert process.serving_state(10 + 499).accepting and not process.serving_state(10 + 501).accepting
 
@@ -94,7 +102,7 @@
 def test_settings_that_change_in_a_drain_change_nothing_in_it():
     process = process_after(START, (10, EVACUATE))
     before = process.serving_state(500)
-    process.longest_ms = 1000.0
+    process.max_deadline_ms = 1000.0
     assert process.serving_state(500) == before
 
 
@@ -109,7 +117,7 @@
             assert not process.serving_state(stops[0] + STOP_MS - 1).ended, order
         else:
             assert end.accepting and not end.ended, order
-            assert end.up == (READY in order and process.drained is None), order
+            assert end.up == (READY in order and process.draining_since is None), order
         # a yes is given only by one that takes clients
         for at in range(0, 5000, 50):
             stance = process.serving_state(at)
@@ -119,7 +127,7 @@
 @given(st.lists(st.tuples(st.floats(0, 2000), st.sampled_from(ProcessEvent)), max_size=12))
 def test_a_stance_says_when_it_changes_next(steps):
     """Between what it is told, nothing changes but at the times that the stance names."""
-    process, now = Process(), 0.0
+    process, now = ProcessLifecycle(), 0.0
     for wait, what in steps:
         stance = process.serving_state(now)
         while stance.changes_at <= now + wait:
--- a/tests/test_stream_machine.py
+++ b/tests/test_stream_machine.py
@@ -10,7 +10,7 @@
 from molespur import Dispatcher, Settings
 from molespur import interface as io
 from molespur.interface import Lifecycle, UpdateMode
-from molespur.lifecycle import Process, ProcessEvent
+from molespur.lifecycle import ProcessEvent, ProcessLifecycle
 from molespur.net.counters import Counters
 from molespur.net.failure import Cause, Failure, Served, Stage
 from molespur.net.host import Arrival, Host
@@ -203,16 +203,16 @@
 
     def __init__(self):
         super().__init__()
-        self.process, self.now, self.before = Process(), 0.0, None
+        self.process, self.now, self.before = ProcessLifecycle(), 0.0, None
 
     @rule(told=st.sampled_from(list(ProcessEvent)), longest=st.sampled_from([500.0, 2200.0, 6000.0]))
     def tell(self, told, longest):
-        self.process.longest_ms = longest
-        if told is ProcessEvent.STOP and self.process.stopped is None:
+        self.process.max_deadline_ms = longest
+        if told is ProcessEvent.STOP and self.process.stopping_since is None:
             self.longest = longest
         why = self.process.handle(self.now, told)
         assert (why is not None) == (
-            self.process.stopped is not None and told in (ProcessEvent.EVACUATE, ProcessEvent.ACTIVATE)
+            self.process.stopping_since is not None and told in (ProcessEvent.EVACUATE, ProcessEvent.ACTIVATE)
         )
 
     @rule(ms=st.sampled_from([1.0, 99.0, 500.0, 2500.0]))
@@ -229,11 +229,11 @@
         if before is not None:
             assert not before.ended or stance.ended
             assert before.accepting or not stance.accepting  # a listener that was left stays left
-        if self.process.stopped is not None:
+        if self.process.stopping_since is not None:
             # SIGKILL follows the longest deadline, 3 s at most, by 0.7 s: all is answered 0.3 s before it, by
             # the deadlines as SIGTERM came, however the settings change after it
             assert self.process._stop_ms == min(self.longest, 3000.0) + 400.0
-            assert stance.ended == (self.now >= self.process.stopped + self.process._stop_ms)
+            assert stance.ended == (self.now >= self.process.stopping_since + self.process._stop_ms)
         self.before = stance
 
 
