--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""The process's one state machine: each order of what it may be told, and what holds then."""
+"""The state machine of the process: what holds after each order of events."""
 
 import itertools
 
@@ -7,10 +7,10 @@
 from hypothesis import strategies as st
 
 from molespur.lifecycle import (
-    EMPTY_MS,
-    GRACE_MS,
-    LATE_CLIENTS_MS,
-    SETTLE_MS,
+    BACKLOG_MS,
+    DRAIN_SETTLE_MS,
+    DRAINED_STOP_GRACE_MS,
+    STOP_GRACE_MS,
     Phase,
     ProcessEvent,
     ProcessLifecycle,
@@ -36,62 +36,64 @@
     [
         ((), 5, Phase.STARTING, False, False, True, False),
         ((START,), 5, Phase.SERVING, True, False, True, False),
-        # a drain: no at once, closing once the front knows, and accepting all along
+        # a drain: health checks fail at once, connections close once the front end knows, none is refused
         ((START, (10, EVACUATE)), 10, Phase.DRAINING, False, False, True, False),
-        ((START, (10, EVACUATE)), 10 + SETTLE_MS, Phase.DRAINING, False, True, True, False),
+        ((START, (10, EVACUATE)), 10 + DRAIN_SETTLE_MS, Phase.DRAINING, False, True, True, False),
         ((START, (10, EVACUATE), (20, ACTIVATE)), 20, Phase.SERVING, True, False, True, False),
-        # a second evacuate does not begin the drain anew
-        ((START, (10, EVACUATE), (200, EVACUATE)), 10 + SETTLE_MS, Phase.DRAINING, False, True, True, False),
+        # a second evacuate does not restart the drain
+        ((START, (10, EVACUATE), (200, EVACUATE)), 10 + DRAIN_SETTLE_MS, Phase.DRAINING, False, True,
+         True, False),
         ((START, (10, ACTIVATE)), 10, Phase.SERVING, True, False, True, False),
-        # before it is ready an evacuate is kept
+        # an evacuate before the process is ready takes effect
         (((1, EVACUATE), (10, READY)), 10, Phase.DRAINING, False, False, True, False),
         # a stop without a successor
         ((START, (10, STOP)), 10, Phase.STOPPING, False, False, True, False),
-        ((START, (10, STOP)), 10 + GRACE_MS, Phase.STOPPING, False, True, False, False),
+        ((START, (10, STOP)), 10 + STOP_GRACE_MS, Phase.STOPPING, False, True, False, False),
         ((START, (10, STOP)), 10 + STOP_MS, Phase.STOPPING, False, True, False, True),
         ((START, (10, STOP), (500, STOP)), 10 + STOP_MS, Phase.STOPPING, False, True, False, True),
-        # a stop amid a drain need not wait for clients that have been sent away
-        ((START, (10, EVACUATE), (500, STOP)), 500 + LATE_CLIENTS_MS, Phase.STOPPING, False, True,
+        # a stop during a drain does not wait for clients that have been sent away
+        ((START, (10, EVACUATE), (500, STOP)), 500 + DRAINED_STOP_GRACE_MS, Phase.STOPPING, False, True,
          False, False),
-        # evacuate and activate after a stop change nothing
+        # evacuate and activate have no effect after a stop
         ((START, (10, STOP), (20, ACTIVATE)), 30, Phase.STOPPING, False, False, True, False),
-        ((START, (10, STOP), (20, EVACUATE)), 30 + SETTLE_MS, Phase.STOPPING, False, False, True, False),
-        # a successor: nobody is told no in its name, and what comes back goes to it
+        ((START, (10, STOP), (20, EVACUATE)), 30 + DRAIN_SETTLE_MS, Phase.STOPPING, False, False, True,
+         False),
+        # with a successor health checks pass, and connections close so that clients go to it
         ((START, (10, SUCCESSOR)), 10, Phase.HANDING_OVER, True, True, True, False),
         ((START, (10, SUCCESSOR), (20, SUCCESSOR_GONE)), 20, Phase.SERVING, True, False, True, False),
         ((START, (10, SUCCESSOR), (500, STOP)), 501, Phase.HANDING_OVER, True, True, True, False),
-        ((START, (10, SUCCESSOR), (500, STOP)), 500 + EMPTY_MS, Phase.HANDING_OVER, False, True,
+        ((START, (10, SUCCESSOR), (500, STOP)), 500 + BACKLOG_MS, Phase.HANDING_OVER, False, True,
          False, False),
         ((START, (10, SUCCESSOR), (500, STOP)), 500 + STOP_MS, Phase.HANDING_OVER, False, True, False, True),
-        # the stop came first: it leaves as soon as there is a successor
+        # after a stop, the listener closes as soon as there is a successor
         ((START, (10, STOP), (600, SUCCESSOR)), 600, Phase.HANDING_OVER, True, True, True, False),
-        ((START, (10, STOP), (600, SUCCESSOR)), 600 + EMPTY_MS, Phase.HANDING_OVER, False, True,
+        ((START, (10, STOP), (600, SUCCESSOR)), 600 + BACKLOG_MS, Phase.HANDING_OVER, False, True,
          False, False),
-        # the successor dies amid the stop, before the address is left and after it
+        # the successor ends during the stop, before and after the listener is closed
         ((START, (1, SUCCESSOR), (10, STOP), (20, SUCCESSOR_GONE)), 30, Phase.STOPPING, False,
          False, True, False),
         ((START, (1, SUCCESSOR), (10, STOP), (900, SUCCESSOR_GONE)), 901, Phase.HANDING_OVER,
          False, True, False, False),
     ],
 )  # fmt: skip
-def test_what_holds(steps, at, phase, up, closing, accepting, ended):
-    stance = process_after(*steps).serving_state(at)
-    assert (stance.phase, stance.up, stance.closing, stance.accepting, stance.ended) == (
+def test_the_serving_state_after_events(steps, at, phase, up, closing, accepting, ended):
+    state = process_after(*steps).serving_state(at)
+    assert (state.phase, state.up, state.closing, state.accepting, state.ended) == (
         phase, up, closing, accepting, ended,
     )  # fmt: skip
 
 
-def test_calls_after_a_stop_are_told_so():
+def test_calls_after_a_stop_are_rejected():
     process = process_after(START, (10, STOP))
     assert process.handle(20, EVACUATE) == process.handle(20, ACTIVATE) == "stopping"
     assert process.handle(30, STOP) is None
 
 
-def test_the_longest_deadline_moves_the_stop_but_not_one_that_has_begun():
+def test_the_longest_deadline_sets_the_length_of_a_stop_until_it_begins():
     process = process_after(START)
     assert process.stop_ms == 3400.0
     process.max_deadline_ms = 9000.0
-    assert process.stop_ms == 3400.0  # counted as 3 s where it is longer
+    assert process.stop_ms == 3400.0  # 3 s count at most
     process.max_deadline_ms = 1000.0
     process.handle(10, STOP)
     process.max_deadline_ms = 9000.0
@@ -99,14 +101,14 @@
     assert process.serving_state(10 + 499).accepting and not process.serving_state(10 + 501).accepting
 
 
-def test_settings_that_change_in_a_drain_change_nothing_in_it():
+def test_a_change_of_settings_has_no_effect_on_a_drain():
     process = process_after(START, (10, EVACUATE))
     before = process.serving_state(500)
     process.max_deadline_ms = 1000.0
     assert process.serving_state(500) == before
 
 
-def test_in_each_order_a_stop_ends_and_what_was_left_stays_left():
+def test_in_each_order_of_events_a_stop_ends_and_a_closed_listener_stays_closed():
     for order in itertools.product(ProcessEvent, repeat=4):
         process = process_after(*((100 * i, what) for i, what in enumerate(order)))
         stops = [100 * i for i, what in enumerate(order) if what is STOP]
@@ -118,28 +120,28 @@
         else:
             assert end.accepting and not end.ended, order
             assert end.up == (READY in order and process.draining_since is None), order
-        # a yes is given only by one that takes clients
+        # health checks pass only while connections are accepted
         for at in range(0, 5000, 50):
-            stance = process.serving_state(at)
-            assert stance.accepting or not stance.up, order
+            state = process.serving_state(at)
+            assert state.accepting or not state.up, order
 
 
 @given(st.lists(st.tuples(st.floats(0, 2000), st.sampled_from(ProcessEvent)), max_size=12))
-def test_a_stance_says_when_it_changes_next(steps):
-    """Between what it is told, nothing changes but at the times that the stance names."""
+def test_a_serving_state_names_the_time_of_its_next_change(steps):
+    """Between events, nothing changes except at the times that the state names."""
     process, now = ProcessLifecycle(), 0.0
-    for wait, what in steps:
-        stance = process.serving_state(now)
-        while stance.changes_at <= now + wait:
-            before = process.serving_state(max(now, stance.changes_at - 1e-3))
+    for wait, event in steps:
+        state = process.serving_state(now)
+        while state.changes_at <= now + wait:
+            before = process.serving_state(max(now, state.changes_at - 1e-3))
             assert (before.closing, before.accepting, before.ended) == (
-                stance.closing, stance.accepting, stance.ended,
+                state.closing, state.accepting, state.ended,
             )  # fmt: skip
-            now, wait = stance.changes_at, wait - (stance.changes_at - now)
+            now, wait = state.changes_at, wait - (state.changes_at - now)
             after = process.serving_state(now)
-            assert after != stance and after.changes_at > now
-            # an end stays an end
-            assert (after.ended, not after.accepting) >= (stance.ended, not stance.accepting)
-            stance = after
+            assert after != state and after.changes_at > now
+            # ended is final, and so is a closed listener
+            assert (after.ended, not after.accepting) >= (state.ended, not state.accepting)
+            state = after
         now += wait
-        process.handle(now, what)
+        process.handle(now, event)
