--- a/molespur/lifecycle.py
+++ b/molespur/lifecycle.py
@@ -13,10 +13,8 @@
 # After SIGTERM new clients arrive for 400 ms.  Those with a connection go on using it, and until another
 # scheduler is back from its own restart, this may be the only one for them.
 STOP_GRACE_MS = 2500.0
-DRAINED_STOP_GRACE_MS = (
-    500.0  # the same where a drain has sent the clients away already; the minimum otherwise
-)
 MIN_RESPONSE_MS = 900.0  # from the end of the grace period to the end of the process, for responses
+DRAINED_STOP_GRACE_MS = 500.0  # where a drain has sent the clients away already, and at least
 BACKLOG_MS = 100.0  # for the listener's queue to empty, once new clients go to the successor
 # SIGKILL comes 700 ms after the longest deadline of a class, of which 3 s count at most.
 MAX_STOP_DEADLINE_MS, KILL_DELAY_MS = 3000.0, 700.0
