--- a/molespur/logs.py
+++ b/molespur/logs.py
@@ -1,8 +1,8 @@
-"""Structured logs: every line is an event name and fields, over the standard library's logging.
+"""Structured logs over the standard library's logging: each line is an event name with fields.
 
-`get` gives a logger whose calls cost one comparison where their level is off.  `plain` writes the lines
-without any further library, which is what the platform's `run` line does; `structured` gives them to
-structlog, as JSON or for a console.
+A call at a disabled level costs one comparison.  `configure_plain` writes the lines without any further
+library, which the platform's `run` line uses; `configure_structured` passes them to structlog, as JSON or for
+a console.
 """
 
 import logging
@@ -57,12 +57,12 @@
         return super().formatMessage(record) + "".join(f" {k}={v!r}" for k, v in fields.items())
 
 
-def plain(level: str = "info") -> None:
+def configure_plain(level: str = "info") -> None:
     """Log to standard error as the platform's `run` line does."""
     _install(PlainFormatter(), level)
 
 
-def structured(form: str, level: str) -> None:
+def configure_structured(form: str, level: str) -> None:
     """Log to standard error through structlog: `json` has one object a line, `console` is for people.
 
     `plain` is as without it.  Raises ValueError for a form or level that there is not.
@@ -70,7 +70,7 @@
     if form not in FORMATS or level not in LEVELS:
         raise ValueError(f"no such log format or level: {form!r}, {level!r}")
     if form == "plain":
-        plain(level)
+        configure_plain(level)
         return
     import structlog
 
--- a/molespur/program.py
+++ b/molespur/program.py
@@ -49,9 +49,9 @@
     # guards against a SIGHUP before we listen for it, or after, which would end the program
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     if deployment is None:
-        logs.plain()
+        logs.configure_plain()
     else:
-        logs.structured(deployment.log.format, deployment.log.level)
+        logs.configure_structured(deployment.log.format, deployment.log.level)
     code = 0
     try:
         trio.run(serve, os.environ, Counters(), deployment)
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -218,7 +218,7 @@
 def test_logs_are_events_with_fields():
     code = (
         "from molespur import logs\n"
-        "logs.structured({!r}, 'info'); log = logs.get('m')\n"
+        "logs.configure_structured({!r}, 'info'); log = logs.get('m')\n"
         "log.debug('off', x=1); log.info('a.b', key='k', n=2)"
     )
     lines = {}
