--- a/molespur/logs.py
+++ b/molespur/logs.py
@@ -13,32 +13,32 @@
 
 
 class EventLogger:
-    """Logs events by name (dotted, lower case) with their fields."""
+    """Logs events by their name (dotted, lower case) with fields."""
 
     __slots__ = ("_log",)
 
     def __init__(self, name: str):
         self._log = logging.getLogger(name)
 
-    def _say(self, level: int, event: str, fields: dict, exc_info=None) -> None:
+    def _log_event(self, level: int, event: str, fields: dict, exc_info=None) -> None:
         if self._log.isEnabledFor(level):
             self._log.log(level, event, exc_info=exc_info, extra={"fields": fields})
 
     def debug(self, event: str, **fields) -> None:
-        self._say(logging.DEBUG, event, fields)
+        self._log_event(logging.DEBUG, event, fields)
 
     def info(self, event: str, **fields) -> None:
-        self._say(logging.INFO, event, fields)
+        self._log_event(logging.INFO, event, fields)
 
     def warning(self, event: str, **fields) -> None:
-        self._say(logging.WARNING, event, fields)
+        self._log_event(logging.WARNING, event, fields)
 
     def error(self, event: str, **fields) -> None:
-        self._say(logging.ERROR, event, fields)
+        self._log_event(logging.ERROR, event, fields)
 
     def exception(self, event: str, **fields) -> None:
-        """An error with the exception that is being handled."""
-        self._say(logging.ERROR, event, fields, exc_info=True)
+        """Log an error with the exception that is being handled."""
+        self._log_event(logging.ERROR, event, fields, exc_info=True)
 
 
 def get(name: str) -> EventLogger:
@@ -47,7 +47,7 @@
 
 
 class PlainFormatter(logging.Formatter):
-    """`time logger event key=value ..`, one line but for tracebacks."""
+    """Formats a record as `time logger event key=value ..`: one line, except for tracebacks."""
 
     def __init__(self):
         super().__init__("%(asctime)s %(name)s %(message)s")
@@ -58,38 +58,38 @@
 
 
 def configure_plain(level: str = "info") -> None:
-    """Log to standard error as the platform's `run` line does."""
+    """Log to standard error, in the plain format, as under the platform's `run` line."""
     _install(PlainFormatter(), level)
 
 
-def configure_structured(form: str, level: str) -> None:
-    """Log to standard error through structlog: `json` has one object a line, `console` is for people.
+def configure_structured(log_format: str, level: str) -> None:
+    """Log to standard error through structlog: `json` writes one object per line, `console` is for people.
 
-    `plain` is as without it.  Raises ValueError for a form or level that there is not.
+    `plain` does not use structlog.  Raises ValueError for an unknown format or level.
     """
-    if form not in FORMATS or level not in LEVELS:
-        raise ValueError(f"no such log format or level: {form!r}, {level!r}")
-    if form == "plain":
+    if log_format not in FORMATS or level not in LEVELS:
+        raise ValueError(f"unknown log format or level: {log_format!r}, {level!r}")
+    if log_format == "plain":
         configure_plain(level)
         return
     import structlog
 
-    def fields(_logger, _name, event):
+    def add_fields(_logger, _name, event):
         event.update(getattr(event["_record"], "fields", None) or {})
         return event
 
-    if form == "json":
-        last = [structlog.processors.format_exc_info, structlog.processors.JSONRenderer(default=repr)]
+    if log_format == "json":
+        renderers = [structlog.processors.format_exc_info, structlog.processors.JSONRenderer(default=repr)]
     else:
-        last = [structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())]
+        renderers = [structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())]
     formatter = structlog.stdlib.ProcessorFormatter(
         foreign_pre_chain=[
             structlog.stdlib.add_logger_name,
             structlog.stdlib.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
-            fields,
+            add_fields,
         ],
-        processors=[structlog.stdlib.ProcessorFormatter.remove_processors_meta, *last],
+        processors=[structlog.stdlib.ProcessorFormatter.remove_processors_meta, *renderers],
     )
     _install(formatter, level)
 
