--- a/molespur/__main__.py
+++ b/molespur/__main__.py
@@ -1,36 +1,38 @@
-"""The one binary: a scheduler in service without arguments, else a command."""
+"""The entry point: without arguments it runs a scheduler, else the given command."""
 
 import gc
 import os
 import signal
 import sys
 
-FLEET_COMMANDS = ("data-plane", "control-plane", "check-settings", "check-configuration")
+ROLE_COMMANDS = ("data-plane", "control-plane", "check-settings", "check-configuration")
 
 
 def main() -> int:
-    """Run what the arguments say, and import no more than that needs."""
-    if len(sys.argv) > 1 and sys.argv[1] in FLEET_COMMANDS:
-        signal.signal(signal.SIGHUP, signal.SIG_IGN)  # the settings are still to be read
-        gc.disable()  # until the role runs: imports make nothing that has to be collected
+    """Run the command of the arguments, and import only what it needs."""
+    if len(sys.argv) > 1 and sys.argv[1] in ROLE_COMMANDS:
+        signal.signal(
+            signal.SIGHUP, signal.SIG_IGN
+        )  # until the role handles it: the settings are not read yet
+        gc.disable()  # until the role runs: imports leave no garbage to collect
         if sys.argv[1] == "data-plane":
             from .system.early_listener import open_early
 
             open_early(os.environ.get("MOLESPUR_SETTINGS", ""), "Frontend")
-        from .system.cli import main as fleet
+        from .system.cli import main as run_role
 
-        return fleet(sys.argv[1:])
+        return run_role(sys.argv[1:])
     if len(sys.argv) > 1 and sys.argv[1] == "system":
-        from .system.client.cli import main as client
+        from .system.client.cli import main as run_client
 
-        return client(sys.argv[2:])
+        return run_client(sys.argv[2:])
     if len(sys.argv) > 1:
-        from .cli import main as command_line
+        from .cli import main as run_command
 
-        command_line()
-    from .program import main as serve
+        run_command()
+    from .program import main as run_scheduler
 
-    return serve()
+    return run_scheduler()
 
 
 if __name__ == "__main__":
