--- a/molespur/benchlink.py
+++ b/molespur/benchlink.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: turns lines into events and actions into lines, and decides nothing."""
+"""The simulator's wire protocol: lines become events, and actions become lines.  It decides nothing."""
 
 import json
 import sys
@@ -30,46 +30,52 @@
 
 NONE = type(None)
 INT, NUM, TEXT, BOOL, OBJ, LIST = {int}, {int, float}, {str}, {bool}, {dict}, {list}
-MAY_NUM, MAY_INT, MAY_TEXT, MAY_OBJ = NUM | {NONE}, INT | {NONE}, TEXT | {NONE}, OBJ | {NONE}
-# The values of each event after its name and instance, in the wire's order.
+OPT_NUM, OPT_INT, OPT_TEXT, OPT_OBJ = NUM | {NONE}, INT | {NONE}, TEXT | {NONE}, OBJ | {NONE}
+# The values of each event, in the order of the wire, after the name of the event and its instance.
 SHAPES = {
     "SPAWN": (("randomSeed", INT), ("profileData", OBJ)),
     "EXIT": (),
     "BACKENDS_CHANGED": (("seqNo", INT), ("mode", TEXT), ("hosts", LIST | {NONE})),
     "SUBMIT": (
-        ("id", INT), ("ramUnits", MAY_NUM), ("routeKey", MAY_INT), ("slots", MAY_NUM), ("workHint", MAY_NUM),
-        ("timeLeft", NUM), ("clientGroup", MAY_TEXT), ("marks", MAY_INT), ("priority", TEXT),
+        ("id", INT), ("ramUnits", OPT_NUM), ("routeKey", OPT_INT), ("slots", OPT_NUM), ("workHint", OPT_NUM),
+        ("timeLeft", NUM), ("clientGroup", OPT_TEXT), ("marks", OPT_INT), ("priority", TEXT),
     ),
-    "BEGUN": (("id", INT), ("hop", INT), ("worker", TEXT), ("waitTime", MAY_NUM)),
-    "HEARTBEAT": (("id", INT), ("worker", TEXT), ("topic", INT), ("x", MAY_NUM), ("hop", INT)),
+    "BEGUN": (("id", INT), ("hop", INT), ("worker", TEXT), ("waitTime", OPT_NUM)),
+    "HEARTBEAT": (("id", INT), ("worker", TEXT), ("topic", INT), ("x", OPT_NUM), ("hop", INT)),
     "CLOSED_ATTEMPT": (
-        ("id", INT), ("hop", INT), ("waitTime", NUM), ("detail", MAY_INT), ("ending", INT), ("worker", TEXT),
-        ("closed", BOOL | {NONE}), ("stats", MAY_OBJ),
+        ("id", INT), ("hop", INT), ("waitTime", NUM), ("detail", OPT_INT), ("ending", INT), ("worker", TEXT),
+        ("closed", BOOL | {NONE}), ("stats", OPT_OBJ),
     ),
     "TIMED_OUT_CLIENT": (("id", INT),),
     "REMINDER": (("tag", TEXT),),
-    "PING_RESULT": (("worker", TEXT), ("waitTime", NUM), ("ending", INT), ("stats", MAY_OBJ)),
-    "DATAGRAM": (("neighbour", INT), ("content", MAY_TEXT)),
+    "PING_RESULT": (("worker", TEXT), ("waitTime", NUM), ("ending", INT), ("stats", OPT_OBJ)),
+    "DATAGRAM": (("neighbour", INT), ("content", OPT_TEXT)),
 }  # fmt: skip
-LIVES = {"in_service": Lifecycle.IN_SERVICE, "terminating": Lifecycle.DRAINING, "terminated": Lifecycle.GONE}
+LIFECYCLES = {
+    "in_service": Lifecycle.IN_SERVICE,
+    "terminating": Lifecycle.DRAINING,
+    "terminated": Lifecycle.GONE,
+}
 encode, decode = json.JSONEncoder(separators=(",", ":")).encode, json.JSONDecoder().decode
-HINT_VALID = 1  # a bit of marks
+HINT_VALID = 1  # bit of the value `marks`
 
 
 class WireError(Exception):
-    """A line that the wire does not allow."""
+    """A line that breaks the protocol."""
 
 
 def entry_from(row):
-    """Build a WorkerEntry from one row of the list."""
+    """Build a WorkerEntry from one row of `hosts`."""
     if type(row) is not list or len(row) < 7 or type(row[0]) is not str:
         raise WireError(f"BACKENDS_CHANGED: hosts: not an entry: {row!r}")
-    worker, zone, kind, cell, life, power, born = row[:7]
-    if life not in LIVES:
-        raise WireError(f"BACKENDS_CHANGED: hosts: unknown lifecycle {life!r} of {worker}")
-    if type(power) not in MAY_NUM or type(born) not in MAY_NUM:
+    worker, zone, kind, cell, lifecycle, power, started_at = row[:7]
+    if lifecycle not in LIFECYCLES:
+        raise WireError(f"BACKENDS_CHANGED: hosts: unknown lifecycle {lifecycle!r} of {worker}")
+    if type(power) not in OPT_NUM or type(started_at) not in OPT_NUM:
         raise WireError(f"BACKENDS_CHANGED: hosts: powerHint and born of {worker} must be numbers")
-    return WorkerEntry(worker, zone or "", kind or "", cell or 0, LIVES[life], power or 1.0, born or 0.0)
+    return WorkerEntry(
+        worker, zone or "", kind or "", cell or 0, LIFECYCLES[lifecycle], power or 1.0, started_at or 0.0
+    )
 
 
 def outcome_from(tag, code):
@@ -80,24 +86,26 @@
 
 
 def event_from(tag, values):
-    """Build the library's event for one wire line whose values have passed the shape check."""
+    """Build the event of a line whose values have passed the type check; None for one that is ignored."""
     if tag == "SUBMIT":
-        request, memory, key, slots, hint, left, tenant, marks, name = values
+        request, memory, key, slots, hint, time_left, tenant, marks, job_class = values
         marks = marks or 0
         hint = hint if marks & HINT_VALID else None
-        return Submitted(request, name, left, slots or 1.0, memory or 0.0, key, hint, tenant)
+        return Submitted(request, job_class, time_left, slots or 1.0, memory or 0.0, key, hint, tenant)
     if tag == "CLOSED_ATTEMPT":
-        request, hop, waited, _, ending, _, closed, stats = values
+        request, attempt, elapsed, _, ending, _, answered, stats = values
         report = report_from(stats)
-        return AttemptEnded(request, hop, outcome_from(tag, ending), waited, bool(closed), report)
+        return AttemptEnded(request, attempt, outcome_from(tag, ending), elapsed, bool(answered), report)
     if tag == "HEARTBEAT":
-        request, _, topic, share, hop = values
-        return Progressed(request, hop, (share or 0.0) if topic == 2 else None) if topic in (1, 2) else None
+        request, _, topic, share, attempt = values
+        return (
+            Progressed(request, attempt, (share or 0.0) if topic == 2 else None) if topic in (1, 2) else None
+        )
     if tag == "REMINDER":
         return TimerFired(values[0])
     if tag == "PING_RESULT":
-        worker, waited, ending, stats = values
-        return ProbeEnded(worker, outcome_from(tag, ending), waited, report_from(stats))
+        worker, elapsed, ending, stats = values
+        return ProbeEnded(worker, outcome_from(tag, ending), elapsed, report_from(stats))
     if tag == "BACKENDS_CHANGED":
         try:
             mode = UpdateMode(values[1].lower())
@@ -108,46 +116,46 @@
         return ClientGone(values[0])
     if tag == "BEGUN":
         return StreamBegun(values[0], values[1])
-    return None  # DATAGRAM: this library sends none
+    return None  # DATAGRAM: dispatchers exchange none here
 
 
-def line_from(who, action):
-    """Render one action as the wire's array."""
+def line_from(instance_id, action):
+    """The wire's array for an action."""
     kind = type(action)
     if kind is Send:
-        return ["SEND", who, action.request, action.worker, action.timeout_ms]
+        return ["SEND", instance_id, action.request, action.worker, action.timeout_ms]
     if kind is SetTimer:
-        return ["WAKE_ME", who, action.delay_ms, action.tag]
+        return ["WAKE_ME", instance_id, action.delay_ms, action.tag]
     if kind is Probe:
-        return ["SOUND_OUT", who, action.worker]
+        return ["SOUND_OUT", instance_id, action.worker]
     if kind is Refuse:
-        return ["REFUSE", who, action.request, action.pause_ms]
+        return ["REFUSE", instance_id, action.request, action.pause_ms]
     if kind is Cancel:
-        return ["RETRACT", who, action.request, action.attempt]
+        return ["RETRACT", instance_id, action.request, action.attempt]
     if kind is Fail:
-        return ["SURRENDER", who, action.request]
+        return ["SURRENDER", instance_id, action.request]
     assert kind is Watch, action
-    return ["WATCH", who, True]
+    return ["WATCH", instance_id, True]
 
 
-class Link:
-    """The instances hosted by one process and the batches that reach them."""
+class Simulation:
+    """The dispatchers of one process, and the batches of events for them."""
 
     def __init__(self):
         self.instances = {}
         self.now = None
 
     def handle_line(self, message, out):
-        """Handle one event line of a batch, appending reply lines to out."""
+        """Handle one event of a batch, and append the replies to out."""
         tag = message[0]
         shape = SHAPES.get(tag)
         if shape is None:
             raise WireError(f"unknown event {tag!r}")
         if len(message) < 2 + len(shape):
             raise WireError(f"{tag}: {len(message) - 1} values, at least {1 + len(shape)} wanted")
-        who = message[1]
-        if type(who) is not int:
-            raise WireError(f"{tag}: who: wrong value {who!r}")
+        instance_id = message[1]
+        if type(instance_id) is not int:
+            raise WireError(f"{tag}: who: wrong value {instance_id!r}")
         try:
             values = message[2 : 2 + len(shape)]
             for value, (name, types) in zip(values, shape, strict=True):
@@ -155,26 +163,28 @@
                     raise WireError(f"{tag}: {name}: wrong value {value!r}")
             if tag == "SPAWN":
                 try:
-                    self.instances[who] = Dispatcher(read_settings(values[1], "profileData")[0], values[0])
-                except ConfigError as problem:
-                    raise WireError(f"SPAWN: {problem}") from None
+                    self.instances[instance_id] = Dispatcher(
+                        read_settings(values[1], "profileData")[0], values[0]
+                    )
+                except ConfigError as error:
+                    raise WireError(f"SPAWN: {error}") from None
                 event = Started()
             elif tag == "EXIT":
-                self.instances.pop(who, None)
+                self.instances.pop(instance_id, None)
                 return
             else:
                 event = event_from(tag, values)
-            instance = self.instances.get(who)
-            if instance is None:
-                raise WireError(f"{tag}: instance {who} has not been started")
+            dispatcher = self.instances.get(instance_id)
+            if dispatcher is None:
+                raise WireError(f"{tag}: instance {instance_id} has not been started")
             if event is not None:
-                for action in instance.handle(self.now, event):
-                    out.append(line_from(who, action))
-        except (WireError, ValueError) as problem:
-            out.append(["EXCEPTION", who, str(problem)])
+                for action in dispatcher.handle(self.now, event):
+                    out.append(line_from(instance_id, action))
+        except (WireError, ValueError) as error:
+            out.append(["EXCEPTION", instance_id, str(error)])
 
     def run(self, lines, write):
-        """Answer batches until the input ends."""
+        """Reply to batches until the input ends."""
         out = []
         for number, line in enumerate(lines, 1):
             try:
@@ -199,21 +209,21 @@
                     out = []
                 else:
                     self.handle_line(message, out)
-            except WireError as problem:
-                raise WireError(f"line {number}: {problem}") from None
+            except WireError as error:
+                raise WireError(f"line {number}: {error}") from None
 
 
 def main():
-    """Speak the wire on standard input and output."""
+    """Run the protocol on standard input and output."""
 
     def write(text):
         sys.stdout.write(text)
         sys.stdout.flush()
 
     try:
-        Link().run(sys.stdin, write)
-    except WireError as problem:
-        sys.exit(f"benchlink: {problem}")
+        Simulation().run(sys.stdin, write)
+    except WireError as error:
+        sys.exit(f"benchlink: {error}")
 
 
 if __name__ == "__main__":
