--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -13,7 +13,7 @@
 CLASSES = (SAFE, UNSAFE, *KEYED.values())
 
 
-def make(seed=1, **changes):
+def make_dispatcher(seed=1, **changes):
     given = {
         "classes": CLASSES, "max_attempts": 4, "may_cancel": True, "tells_start": True, "progress_ms": 1000.0,
         "cold_start_share": 0.25, "cold_ms": 8000.0, "cold_multiple": 3.0, "cold_window_ms": 1000.0,
@@ -27,7 +27,7 @@
     return io.WorkerEntry(name, zone, kind, cell, life, power, born)
 
 
-def news(dispatcher, *entries, now=1.0, mode=UpdateMode.COMPLETE):
+def update_fleet(dispatcher, *entries, now=1.0, mode=UpdateMode.COMPLETE):
     return dispatcher.handle(now, io.FleetUpdate(mode, entries))
 
 
@@ -35,10 +35,10 @@
     return dispatcher.handle(now, io.Submitted(request, name, left, **more))
 
 
-def end(dispatcher, request, outcome, now, attempt=0, answered=None, elapsed=50.0, report=None):
+def end_attempt(dispatcher, request, outcome, now, attempt=0, answered=None, elapsed=50.0, report=None):
     answered = outcome is Outcome.OK if answered is None else answered
     return dispatcher.handle(now, io.AttemptEnded(request, attempt, outcome, elapsed, answered, report))
 
 
-def of(actions, kind):
+def actions_of(actions, kind):
     return [a for a in actions if isinstance(a, kind)]
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -4,14 +4,14 @@
 from random import Random
 
 import pytest
-from helpers import make
+from helpers import make_dispatcher
 from hypothesis import given
 from hypothesis import strategies as st
 
 from molespur.net.asking import CALL_MS, SILENCE_MS, Asking
 
 TERM_MS = 6000.0
-GIVEN = make().s
+GIVEN = make_dispatcher().s
 
 
 stays = st.lists(st.sampled_from([0.0, 10.0, 2999.0, 3000.0, 9e9]))
--- a/tests/test_change.py
+++ b/tests/test_change.py
@@ -5,7 +5,7 @@
 from types import SimpleNamespace
 
 import pytest
-from helpers import CLASSES, end, entry, make, news, of, submit
+from helpers import CLASSES, actions_of, end_attempt, entry, make_dispatcher, submit, update_fleet
 from hypothesis import given
 from hypothesis import strategies as st
 from scenario import SETTINGS, play, target
@@ -247,37 +247,37 @@
 
 
 def test_open_jobs_keep_their_class_and_attempts():
-    d = make(max_attempts=2)
-    news(d, entry("w1"), entry("w2"))
-    assert of(submit(d, 1, "safe"), io.Send)
+    d = make_dispatcher(max_attempts=2)
+    update_fleet(d, entry("w1"), entry("w2"))
+    assert actions_of(submit(d, 1, "safe"), io.Send)
     safe, *others = CLASSES
     unsafe = JobClass("safe", safe.aim_ms, safe.deadline_ms, safe.aim_stretch, effect=Effect.UNSAFE)
     retune(d, classes=(unsafe, *others), max_attempts=4)
-    assert of(submit(d, 2, "safe", now=11.0), io.Send)
+    assert actions_of(submit(d, 2, "safe", now=11.0), io.Send)
     # taken as harmless: tried again, twice in all
-    assert of(end(d, 1, Outcome.RESET, 20.0), io.Send)
-    assert of(end(d, 1, Outcome.RESET, 30.0, attempt=1), io.Refuse)
+    assert actions_of(end_attempt(d, 1, Outcome.RESET, 20.0), io.Send)
+    assert actions_of(end_attempt(d, 1, Outcome.RESET, 30.0, attempt=1), io.Refuse)
     # taken after the change: it may have run, so it is neither tried again nor refused
-    assert of(end(d, 2, Outcome.RESET, 40.0), io.Fail)
+    assert actions_of(end_attempt(d, 2, Outcome.RESET, 40.0), io.Fail)
 
 
 def test_a_dropped_class_ends_its_open_jobs_by_its_own_rules():
-    d = make()
-    news(d, entry("w1"))
+    d = make_dispatcher()
+    update_fleet(d, entry("w1"))
     submit(d, 1, "safe")
     retune(d, classes=CLASSES[1:])
-    assert of(end(d, 1, Outcome.RESET, 20.0), io.Send)
-    assert of(end(d, 1, Outcome.OK, 30.0, attempt=1), io.Fail) == [] and not d.jobs
+    assert actions_of(end_attempt(d, 1, Outcome.RESET, 20.0), io.Send)
+    assert actions_of(end_attempt(d, 1, Outcome.OK, 30.0, attempt=1), io.Fail) == [] and not d.jobs
     with pytest.raises(ValueError, match="safe"):
         submit(d, 2, "safe", now=40.0)
 
 
 def test_what_was_learnt_of_classes_and_workers_stays():
-    d = make()
-    news(d, entry("w1"))
+    d = make_dispatcher()
+    update_fleet(d, entry("w1"))
     for n in range(1, 20):
         submit(d, n, "safe", now=10.0 * n)
-        end(d, n, Outcome.OK, 10.0 * n + 5)
+        end_attempt(d, n, Outcome.OK, 10.0 * n + 5)
     state, pace = d.classes["safe"], d.workers["w1"].pace
     retune(d, 500.0)
     assert d.classes["safe"] is state  # the same settings change nothing
@@ -287,7 +287,7 @@
     retune(d, 500.0, classes=(new, added, *others))
     assert d.classes["safe"].median == state.median and d.classes["safe"].cls is new
     assert d.workers["w1"].pace == pace and d.classes["added"].cls is added
-    assert of(submit(d, 50, "added", now=510.0), io.Send)
+    assert actions_of(submit(d, 50, "added", now=510.0), io.Send)
 
 
 def test_the_retune_reaches_all_parts_in_one_step():
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -3,7 +3,7 @@
 from random import Random
 
 import pytest
-from helpers import SAFE, entry, make, news
+from helpers import SAFE, entry, make_dispatcher, update_fleet
 
 from molespur import interface as io
 from molespur.interface import JobClass, Outcome
@@ -39,7 +39,7 @@
     def scheduler(told_at):
         nonlocal serial
         serial += 1
-        d = make(
+        d = make_dispatcher(
             seed=serial * 7919 + seed, balancers=many, classes=(SAFE, CLASS), cold_ms=COLD, max_attempts=3,
             cold_window_ms=WINDOW, cold_start_share=SHARE, cold_multiple=MULTIPLE,
         )  # fmt: skip
@@ -67,7 +67,7 @@
             events.append((d, io.AttemptEnded(send.request, number, outcome, now - sent, ok)))
         for d in fleet:
             if d.told_at is not None and d.told_at <= now:
-                news(d, entry("w", born=worker.born), now=now)
+                update_fleet(d, entry("w", born=worker.born), now=now)
                 d.workers["w"].learn_slots(SLOTS)
                 d.told_at = None
             d.sent = getattr(d, "sent", {})
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,7 +1,7 @@
 """What is harmless when one dispatcher does it, and harmful when forty do: counted over all of them."""
 
 import pytest
-from helpers import end, entry, make, news, of, submit
+from helpers import actions_of, end_attempt, entry, make_dispatcher, submit, update_fleet
 
 from molespur import Dispatcher
 from molespur import interface as io
@@ -14,7 +14,7 @@
 
 @pytest.mark.parametrize("event", ["started", "lost", "away"])
 def test_a_fleet_that_asks_discovery_at_once_gets_all_its_watches(event):
-    settings = make(subscribes=True, must_ask_in_ms=10000.0, balancers=MANY).settings
+    settings = make_dispatcher(subscribes=True, must_ask_in_ms=10000.0, balancers=MANY).settings
     fleet = [Dispatcher(settings, n) for n in range(MANY)]
     discovery = Discovery(each_ms=150.0, patience_ms=2000.0, most=20)
     first = io.Started() if event == "started" else io.FleetUpdate(UpdateMode.ERROR)
@@ -27,7 +27,7 @@
 
 def test_a_very_large_fleet_asks_again_before_what_it_was_not_told_counts_as_told():
     """Guards rule 3: without a watch, drains count as told some time after the last asking."""
-    settings = make(subscribes=True, must_ask_in_ms=10000.0, balancers=150).settings
+    settings = make_dispatcher(subscribes=True, must_ask_in_ms=10000.0, balancers=150).settings
     fleet = [Dispatcher(settings, n) for n in range(150)]
     discovery = Discovery(each_ms=150.0, patience_ms=2000.0, most=20)
     drive(fleet, discovery, 10000.0, [(who, io.FleetUpdate(UpdateMode.ERROR)) for who in range(150)])
@@ -36,7 +36,7 @@
 
 def test_askings_slow_down_until_discovery_carries_them():
     """Guards against a fleet too large for its first waits: each failure must make the askings rarer."""
-    settings = make(subscribes=True, must_ask_in_ms=10000.0, balancers=150).settings
+    settings = make_dispatcher(subscribes=True, must_ask_in_ms=10000.0, balancers=150).settings
     fleet = [Dispatcher(settings, n) for n in range(150)]
     discovery = Discovery(each_ms=150.0, patience_ms=2000.0, most=20)
     drive(fleet, discovery, 90000.0, [(who, io.Started()) for who in range(150)])
@@ -45,7 +45,7 @@
 
 def test_a_discovery_that_goes_down_is_not_asked_faster_than_before():
     """A stand-in's own check, too: the watches break, every call fails, and all are back afterwards."""
-    settings = make(subscribes=True, must_ask_in_ms=10000.0, balancers=MANY).settings
+    settings = make_dispatcher(subscribes=True, must_ask_in_ms=10000.0, balancers=MANY).settings
     fleet = [Dispatcher(settings, n) for n in range(MANY)]
     discovery = Discovery(each_ms=20.0, patience_ms=2000.0, most=MANY)
     seen = []
@@ -62,7 +62,7 @@
 
 
 def test_a_call_to_discovery_is_not_thrown_away_for_the_next():
-    d = make(subscribes=True, must_ask_in_ms=10000.0, balancers=MANY)
+    d = make_dispatcher(subscribes=True, must_ask_in_ms=10000.0, balancers=MANY)
     d.handle(0.0, io.FleetUpdate(UpdateMode.ERROR))
     calls, now = [], 0.0
     while not calls or now < calls[0] + 5000.0:
@@ -73,10 +73,14 @@
 
 def asked_first(left=5000.0, run=300.0, key=None, **changes):
     """A dispatcher with ten workers, and whom it probes and sends to for a job that comes at 2 ms."""
-    d = make(**({"balancers": MANY, "may_probe": True} | changes))
-    news(d, *(entry(f"w{n}") for n in range(10)))
+    d = make_dispatcher(**({"balancers": MANY, "may_probe": True} | changes))
+    update_fleet(d, *(entry(f"w{n}") for n in range(10)))
     out = submit(d, 1, left=left, work_hint_ms=run, key=key)
-    return d, [probe.worker for probe in of(out, io.Probe)], [send.worker for send in of(out, io.Send)]
+    return (
+        d,
+        [probe.worker for probe in actions_of(out, io.Probe)],
+        [send.worker for send in actions_of(out, io.Send)],
+    )
 
 
 def say(d, now, worker, free):
@@ -94,8 +98,8 @@
     for w in d.live:  # by what others saw, all are crowded
         w.other_slots, w.measured_at = 12.0, 2.0
     for n, worker in enumerate(asked):
-        assert not of(out := say(d, 3.0 + 2 * n, worker, n == free), io.Send) or n == 5
-    assert [send.worker for send in of(out, io.Send)] == [asked[free]]
+        assert not actions_of(out := say(d, 3.0 + 2 * n, worker, n == free), io.Send) or n == 5
+    assert [send.worker for send in actions_of(out, io.Send)] == [asked[free]]
 
 
 def test_a_job_goes_to_a_worker_that_has_said_something_rather_than_to_one_that_is_guessed_at():
@@ -103,16 +107,16 @@
     for seed in range(12):
         d, asked, _ = asked_first(seed=seed)
         for n, worker in enumerate(asked[:5]):
-            assert not of(say(d, 3.0 + 2 * n, worker, True), io.Send)
+            assert not actions_of(say(d, 3.0 + 2 * n, worker, True), io.Send)
         failed = io.ProbeEnded(asked[5], Outcome.ERROR, 1.0)
         out = d.handle(14.0, failed) + d.handle(15.0, io.TimerFired("due"))
-        assert [send.worker in asked[:5] for send in of(out, io.Send)] == [True]
+        assert [send.worker in asked[:5] for send in actions_of(out, io.Send)] == [True]
 
 
 def test_where_all_that_said_something_are_crowded_others_are_looked_at():
     d, asked, _ = asked_first()
     out = [one for n, worker in enumerate(asked) for one in say(d, 3.0 + 2 * n, worker, False)]
-    assert [send.worker in asked for send in of(out, io.Send)] == [False]
+    assert [send.worker in asked for send in actions_of(out, io.Send)] == [False]
 
 
 def test_a_worker_that_drains_after_it_has_said_something_gets_nothing():
@@ -122,7 +126,7 @@
         say(d, 3.0 + 2 * n, worker, n == 0)
     d.handle(14.0, io.FleetUpdate(UpdateMode.PARTIAL, (entry(asked[0], life=Lifecycle.DRAINING),)))
     out = say(d, 15.0, asked[5], False)
-    assert [send.worker not in asked for send in of(out, io.Send)] == [True]
+    assert [send.worker not in asked for send in actions_of(out, io.Send)] == [True]
 
 
 def test_the_home_of_a_key_is_looked_at_beside_those_that_said_something():
@@ -134,7 +138,7 @@
         (home,) = [w for w, match in d._preferred_workers(5).items() if match > 0.8]
         for n, worker in enumerate(asked):
             out = say(d, 3.0 + 2 * n, worker, True)
-        found += [of(out, io.Send)[0].worker == home] * (home not in asked)
+        found += [actions_of(out, io.Send)[0].worker == home] * (home not in asked)
     assert len(found) >= 3 and all(found)
 
 
@@ -152,7 +156,7 @@
     turn, now = d.mean_run, 2.0
     while not sent:
         now += 4.0
-        sent = of(d.handle(now, io.TimerFired("due")), io.Send)
+        sent = actions_of(d.handle(now, io.TimerFired("due")), io.Send)
     assert 0.1 * turn <= now - 2.0 <= 0.1 * turn + 8.0
     assert len(asked) == 6
 
@@ -161,7 +165,7 @@
     """With 60 ms left, of which 40 are for its answer, it must not wait for a tenth of a mean run."""
     d, asked, sent = asked_first(left=60.0)
     assert len(asked) == 6 and not sent
-    assert of(d.handle(9.0, io.TimerFired("due")), io.Send)
+    assert actions_of(d.handle(9.0, io.TimerFired("due")), io.Send)
 
 
 @pytest.mark.parametrize(
@@ -176,9 +180,9 @@
 
 def test_nothing_is_sent_for_a_client_that_left_while_workers_were_asked():
     d, asked, _ = asked_first()
-    assert not of(d.handle(3.0, io.ClientGone(1)), io.Send)
+    assert not actions_of(d.handle(3.0, io.ClientGone(1)), io.Send)
     for n, worker in enumerate(asked):
-        assert not of(say(d, 4.0 + 2 * n, worker, True), io.Send)
+        assert not actions_of(say(d, 4.0 + 2 * n, worker, True), io.Send)
     assert not d.jobs
 
 
@@ -190,19 +194,19 @@
     now, answers = 2.0, []
     while now < 5100.0 and not answers:
         now += 4.0
-        answers = of(d.handle(now, io.TimerFired("due")), io.Refuse)
+        answers = actions_of(d.handle(now, io.TimerFired("due")), io.Refuse)
     assert answers and now <= 5002.0
 
 
 def test_own_jobs_that_are_overdue_tell_of_a_queue_that_no_report_shows():
     """A full worker reports no free slots, whether none or a hundred wait."""
-    d = make(seed=3, balancers=MANY)
-    news(d, entry("long"), entry("short"))
+    d = make_dispatcher(seed=3, balancers=MANY)
+    update_fleet(d, entry("long"), entry("short"))
     for name in ("long", "short"):
         d.workers[name].learn_slots(4)
         d._apply_report(d.workers[name], {"free_slots": 0.0, "util": 1.0})
     job = submit(d, 1, now=2.0, work_hint_ms=100.0)
-    first = of(job, io.Send)[0].worker
+    first = actions_of(job, io.Send)[0].worker
     other = ({"long", "short"} - {first}).pop()
     waits = [d._expected_wait(d.workers[first], 1)[0]]
     for now in (500.0, 1000.0, 2000.0):
@@ -211,7 +215,7 @@
     assert waits[3] > waits[2] > waits[1] and waits[3] > 1000
     d.now = 2000.0
     assert d._expected_wait(d.workers[other], 1)[0] < waits[3] / 4
-    end(d, 1, Outcome.OK, now=2100.0, elapsed=2098.0)
+    end_attempt(d, 1, Outcome.OK, now=2100.0, elapsed=2098.0)
     assert d._expected_wait(d.workers[first], 1)[0] > 1000  # the next would wait as long
     d._apply_report(d.workers[first], {"free_slots": 2.0, "free_memory": 0.0, "util": 0.5})
     assert d._expected_wait(d.workers[first], 1)[0] > 1000  # also where slots are free, but no memory
@@ -221,8 +225,8 @@
 
 def test_few_dispatchers_take_an_overdue_job_for_a_wait_only_after_long_silence():
     """Two see all that waits in own jobs and reports: one hint's error is no queue, a worker cut off is."""
-    d = make(seed=3, balancers=2, progress_ms=1000.0)
-    news(d, entry("w"))
+    d = make_dispatcher(seed=3, balancers=2, progress_ms=1000.0)
+    update_fleet(d, entry("w"))
     w = d.workers["w"]
     w.learn_slots(4)
     submit(d, 1, now=2.0, work_hint_ms=100.0)
@@ -230,7 +234,7 @@
     assert d._expected_wait(w, 1)[0] < 200
     d.now = 3000.0
     assert d._expected_wait(w, 1)[0] > 1500
-    end(d, 1, Outcome.OK, now=3000.0, elapsed=2998.0)
+    end_attempt(d, 1, Outcome.OK, now=3000.0, elapsed=2998.0)
     assert w.lateness == 0.0
 
 
@@ -238,8 +242,8 @@
     """Guards against a whole fleet piling up at one worker that each sends a few jobs to."""
     more = {}
     for balancers in (2, MANY):
-        d = make(balancers=balancers)
-        news(d, *(entry(f"w{n}") for n in range(10)))
+        d = make_dispatcher(balancers=balancers)
+        update_fleet(d, *(entry(f"w{n}") for n in range(10)))
         for w in d.live:
             w.learn_slots(8)
         before = d._expected_wait(d.live[0], 1)[1]
@@ -253,20 +257,22 @@
     """Guards against a key that is fetched by as many workers as there are dispatchers with other subsets."""
     chosen = set()
     for seed in range(12):
-        d = make(seed=seed, balancers=MANY)
-        news(d, *(entry(f"w{n}") for n in range(60)))
+        d = make_dispatcher(seed=seed, balancers=MANY)
+        update_fleet(d, *(entry(f"w{n}") for n in range(60)))
         d.key_jobs, d.key_total = {5: 0.1}, 100.0
-        chosen.update(s.worker for s in of(submit(d, 1, key=5, work_hint_ms=100.0), io.Send))
+        chosen.update(s.worker for s in actions_of(submit(d, 1, key=5, work_hint_ms=100.0), io.Send))
     assert len(chosen) <= 3
 
 
 def test_a_fleet_uses_what_a_cold_worker_can_do_at_least_but_stays_far_from_the_rule():
     """Each dispatcher's share is below one job here; all together neither starve it nor push it over."""
     window, work = 3000.0, 300.0
-    fleet = [make(seed=n, balancers=MANY, cold_ms=20000.0, cold_window_ms=window) for n in range(MANY)]
+    fleet = [
+        make_dispatcher(seed=n, balancers=MANY, cold_ms=20000.0, cold_window_ms=window) for n in range(MANY)
+    ]
     sent = [[] for _ in fleet]
     for number, d in enumerate(fleet):
-        news(d, entry("new", born=1.0), now=1.0)
+        update_fleet(d, entry("new", born=1.0), now=1.0)
         d.workers["new"].learn_slots(8)
         for now in range(5, 9000, 25):
             d.now = float(now)
@@ -287,10 +293,10 @@
 @pytest.mark.parametrize(("many", "since", "sent"), [(1, 4000.0, 1), (3, 4000.0, 1), (3, 1150.0, 0)])
 def test_jobs_that_hang_are_no_crowd_but_jobs_that_wait_are_one(many, since, sent):
     """Guards against a scheduler that refuses all for as long as its one job hangs, and so has no other."""
-    d, now = make(seed=3, balancers=MANY), 5000.0
-    news(d, *(entry(f"w{n}") for n in range(12)))
+    d, now = make_dispatcher(seed=3, balancers=MANY), 5000.0
+    update_fleet(d, *(entry(f"w{n}") for n in range(12)))
     for w in d.workers.values():
         w.learn_slots(4)
     for n in range(many):
         submit(d, n, "unsafe", now=now - since, work_hint_ms=100.0)
-    assert len(of(submit(d, 1000, now=now, work_hint_ms=100.0), io.Send)) == sent
+    assert len(actions_of(submit(d, 1000, now=now, work_hint_ms=100.0), io.Send)) == sent
--- a/tests/test_random_events.py
+++ b/tests/test_random_events.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from helpers import CLASSES, entry, make
+from helpers import CLASSES, entry, make_dispatcher
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -18,7 +18,7 @@
     def __init__(self, seed, **changes):
         self.rng, self.now = Random(seed), 1.0
         self.changes = changes
-        self.d = make(seed, **changes)
+        self.d = make_dispatcher(seed, **changes)
         self.fleet = {}
         self.jobs = {}  # id -> [class, deadline, attempts, final]
         self.out = []  # (id, attempt number)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import KEYED, end, entry, make, news, of, submit
+from helpers import KEYED, actions_of, end_attempt, entry, make_dispatcher, submit, update_fleet
 
 from molespur import interface as io
 from molespur.interface import NEVER_RAN, Group, Lifecycle, Outcome, UpdateMode
@@ -24,7 +24,7 @@
 
 def drive(dispatcher, actions, request, now, until):
     """Follow timers until the request is acted on again or time is up."""
-    while not of(actions, (io.Send, io.Refuse, io.Fail)) and now < until:
+    while not actions_of(actions, (io.Send, io.Refuse, io.Fail)) and now < until:
         now += 20
         actions = dispatcher.handle(now, io.TimerFired("due"))
     return actions, now
@@ -32,122 +32,122 @@
 
 @pytest.mark.parametrize("outcome", FAILURES)
 def test_unsafe_goes_again_only_on_proof(outcome):
-    d = make()
-    news(d, *FLEET)
-    assert of(submit(d, 7, "unsafe"), io.Send)
-    actions, _ = drive(d, end(d, 7, outcome, 60), 7, 60, 6000)
+    d = make_dispatcher()
+    update_fleet(d, *FLEET)
+    assert actions_of(submit(d, 7, "unsafe"), io.Send)
+    actions, _ = drive(d, end_attempt(d, 7, outcome, 60), 7, 60, 6000)
     if outcome in NEVER_RAN:
-        assert of(actions, (io.Send, io.Refuse)) and not of(actions, io.Fail)
+        assert actions_of(actions, (io.Send, io.Refuse)) and not actions_of(actions, io.Fail)
     else:
-        assert of(actions, io.Fail) and not of(actions, (io.Send, io.Refuse))
+        assert actions_of(actions, io.Fail) and not actions_of(actions, (io.Send, io.Refuse))
 
 
 @pytest.mark.parametrize("outcome", FAILURES)
 def test_safe_is_tried_again(outcome):
-    d = make()
-    news(d, *FLEET)
+    d = make_dispatcher()
+    update_fleet(d, *FLEET)
     submit(d, 7)
-    actions, _ = drive(d, end(d, 7, outcome, 60), 7, 60, 6000)
-    assert len(of(actions, io.Send)) == 1
+    actions, _ = drive(d, end_attempt(d, 7, outcome, 60), 7, 60, 6000)
+    assert len(actions_of(actions, io.Send)) == 1
 
 
 @pytest.mark.parametrize("group", list(Group))
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.CANCELLED])
 def test_keyed_stays_in_its_group(group, outcome):
     for seed in range(8):
-        d = make(seed)
-        news(d, *FLEET)
-        home = at(of(submit(d, 7, KEYED[group].name), io.Send)[0].worker)
-        actions, _ = drive(d, end(d, 7, outcome, 60), 7, 60, 6000)
-        for send in of(actions, io.Send):
+        d = make_dispatcher(seed)
+        update_fleet(d, *FLEET)
+        home = at(actions_of(submit(d, 7, KEYED[group].name), io.Send)[0].worker)
+        actions, _ = drive(d, end_attempt(d, 7, outcome, 60), 7, 60, 6000)
+        for send in actions_of(actions, io.Send):
             there = at(send.worker)
             assert group is not Group.ZONE or there.zone == home.zone
             assert group is not Group.CELL or there.cell == home.cell
         if group is not Group.ALL:
-            assert not of(actions, io.Refuse)
+            assert not actions_of(actions, io.Refuse)
 
 
 @pytest.mark.parametrize("group", list(Group))
 def test_keyed_window_runs_from_the_first_send(group):
-    d = make(classes=(replace(KEYED[group], aim_ms=4500),))  # so that it would still be in time
-    news(d, *FLEET)
+    d = make_dispatcher(classes=(replace(KEYED[group], aim_ms=4500),))  # so that it would still be in time
+    update_fleet(d, *FLEET)
     submit(d, 7, KEYED[group].name, work_hint_ms=100.0)
-    actions, _ = drive(d, end(d, 7, Outcome.ERROR, 2500), 7, 2500, 6000)
-    assert not of(actions, io.Send)
-    assert of(actions, io.Refuse if group is Group.ALL else io.Fail)
+    actions, _ = drive(d, end_attempt(d, 7, Outcome.ERROR, 2500), 7, 2500, 6000)
+    assert not actions_of(actions, io.Send)
+    assert actions_of(actions, io.Refuse if group is Group.ALL else io.Fail)
 
 
 @pytest.mark.parametrize("life", [Lifecycle.DRAINING, Lifecycle.GONE])
 def test_nothing_new_to_a_draining_worker(life):
-    d = make()
-    news(d, entry("w1"), entry("w2"))
-    news(d, entry("w1", life=life), now=5.0, mode=UpdateMode.PARTIAL)
+    d = make_dispatcher()
+    update_fleet(d, entry("w1"), entry("w2"))
+    update_fleet(d, entry("w1", life=life), now=5.0, mode=UpdateMode.PARTIAL)
     for n in range(20):
-        assert {a.worker for a in of(submit(d, n, now=10.0 + n), io.Send)} <= {"w2"}
+        assert {a.worker for a in actions_of(submit(d, n, now=10.0 + n), io.Send)} <= {"w2"}
 
 
 def test_complete_list_drops_what_it_does_not_name():
-    d = make()
-    news(d, entry("w1"), entry("w2"))
-    news(d, entry("w2"), now=5.0)
-    assert {a.worker for n in range(9) for a in of(submit(d, n, now=10.0 + n), io.Send)} == {"w2"}
+    d = make_dispatcher()
+    update_fleet(d, entry("w1"), entry("w2"))
+    update_fleet(d, entry("w2"), now=5.0)
+    assert {a.worker for n in range(9) for a in actions_of(submit(d, n, now=10.0 + n), io.Send)} == {"w2"}
 
 
 def test_held_job_is_answered_before_its_client_gives_up():
-    d = make()
-    assert not of(submit(d, 7, left=1000.0), (io.Send, io.Refuse, io.Fail))  # empty fleet
+    d = make_dispatcher()
+    assert not actions_of(submit(d, 7, left=1000.0), (io.Send, io.Refuse, io.Fail))  # empty fleet
     actions, now = drive(d, [], 7, 2, 3000)
-    assert of(actions, io.Refuse) and now < 1002
+    assert actions_of(actions, io.Refuse) and now < 1002
 
 
 def test_no_time_left_is_refused_at_once():
-    d = make()
-    news(d, *FLEET)
-    assert of(submit(d, 7, left=0.0), io.Refuse)
+    d = make_dispatcher()
+    update_fleet(d, *FLEET)
+    assert actions_of(submit(d, 7, left=0.0), io.Refuse)
 
 
 def test_timed_out_at_the_deadline_gets_its_final_answer():
-    d = make()
-    news(d, *FLEET)
+    d = make_dispatcher()
+    update_fleet(d, *FLEET)
     submit(d, 7, "unsafe")
-    assert of(end(d, 7, Outcome.TIMEOUT, 5002, elapsed=5000.0), io.Fail)
+    assert actions_of(end_attempt(d, 7, Outcome.TIMEOUT, 5002, elapsed=5000.0), io.Fail)
 
 
 def test_client_gone_forgets_the_request_and_late_outcomes_are_harmless():
-    d = make()
-    news(d, *FLEET)
+    d = make_dispatcher()
+    update_fleet(d, *FLEET)
     submit(d, 7)
-    assert of(d.handle(50.0, io.ClientGone(7)), io.Cancel)
-    assert not of(end(d, 7, Outcome.ERROR, 60), (io.Send, io.Refuse, io.Fail))
-    assert not of(end(d, 7, Outcome.ERROR, 70), (io.Send, io.Refuse, io.Fail))
+    assert actions_of(d.handle(50.0, io.ClientGone(7)), io.Cancel)
+    assert not actions_of(end_attempt(d, 7, Outcome.ERROR, 60), (io.Send, io.Refuse, io.Fail))
+    assert not actions_of(end_attempt(d, 7, Outcome.ERROR, 70), (io.Send, io.Refuse, io.Fail))
     assert not d.jobs
 
 
 def test_begun_stream_belongs_to_its_client():
-    d = make()
-    news(d, *FLEET)
+    d = make_dispatcher()
+    update_fleet(d, *FLEET)
     submit(d, 7)
     d.handle(20.0, io.StreamBegun(7, 0))
-    assert not of(end(d, 7, Outcome.RESET, 60, answered=True), (io.Send, io.Refuse, io.Fail))
+    assert not actions_of(end_attempt(d, 7, Outcome.RESET, 60, answered=True), (io.Send, io.Refuse, io.Fail))
     assert not d.jobs
 
 
 def test_cold_worker_gets_no_more_than_its_share():
-    d = make(balancers=2)
-    news(d, entry("new", born=100.0), now=100.0)
+    d = make_dispatcher(balancers=2)
+    update_fleet(d, entry("new", born=100.0), now=100.0)
     sent = 0
     for n in range(60):
         now = 110.0 + n * 10
-        sent += len(of(submit(d, n, "unsafe", now=now, work_hint_ms=100.0), io.Send))
+        sent += len(actions_of(submit(d, n, "unsafe", now=now, work_hint_ms=100.0), io.Send))
     # a quarter of four slots, one second, half of it ours, three times over: 1500 ms of work at the most
     assert 1 <= sent <= 15
 
 
 def test_restart_under_the_same_id_is_cold_again():
-    d = make()
-    news(d, entry("w"))
+    d = make_dispatcher()
+    update_fleet(d, entry("w"))
     d.workers["w"].ejections = 3
-    news(d, entry("w", born=500.0), now=500.0)
+    update_fleet(d, entry("w", born=500.0), now=500.0)
     d.now = 500.0
     assert d.workers["w"].ejections == 0 and d._warmth(d.workers["w"]) == pytest.approx(0.25)
 
@@ -156,8 +156,8 @@
     """Guards rule 4 at size: a large job that waits for its turn must not let a small one through early."""
     sent, balancers = 0.0, 150
     for seed in range(balancers):
-        d = make(seed, balancers=balancers, cold_ms=8000.0, cold_window_ms=2000.0)
-        news(d, entry("new", born=1.0))
+        d = make_dispatcher(seed, balancers=balancers, cold_ms=8000.0, cold_window_ms=2000.0)
+        update_fleet(d, entry("new", born=1.0))
         for now in (2.0, 600.0, 1200.0, 1900.0):
             for n, hint in enumerate((2000.0, 1000.0, 150.0)):
                 for state in d.classes.values():
