--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -11,7 +11,7 @@
 from molespur.net.asking import CALL_MS, SILENCE_MS, Asking
 
 TERM_MS = 6000.0
-GIVEN = make_dispatcher().s
+GIVEN = make_dispatcher().settings
 
 
 stays = st.lists(st.sampled_from([0.0, 10.0, 2999.0, 3000.0, 9e9]))
