--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,8 +1,19 @@
 """Small fleets and job streams shared by the tests."""
 
 from molespur import Dispatcher, Settings
-from molespur import interface as io
-from molespur.interface import Effect, Group, JobClass, Lifecycle, Outcome, UpdateMode
+from molespur.interface import (
+    AttemptEnded,
+    Effect,
+    FleetUpdate,
+    Group,
+    JobClass,
+    Lifecycle,
+    Outcome,
+    Started,
+    Submitted,
+    UpdateMode,
+    WorkerEntry,
+)
 
 SAFE = JobClass("safe", aim_ms=500, deadline_ms=5000, aim_stretch=2)
 UNSAFE = JobClass("unsafe", aim_ms=500, deadline_ms=5000, effect=Effect.UNSAFE, priority=1, worth=5)
@@ -19,25 +30,25 @@
         "cold_start_share": 0.25, "cold_ms": 8000.0, "cold_multiple": 3.0, "cold_window_ms": 1000.0,
     }  # fmt: skip
     dispatcher = Dispatcher(Settings(**(given | changes)), seed)
-    dispatcher.handle(0.0, io.Started())
+    dispatcher.handle(0.0, Started())
     return dispatcher
 
 
 def entry(name, zone="a", kind="k", cell=0, life=Lifecycle.IN_SERVICE, power=4.0, born=0.0):
-    return io.WorkerEntry(name, zone, kind, cell, life, power, born)
+    return WorkerEntry(name, zone, kind, cell, life, power, born)
 
 
 def update_fleet(dispatcher, *entries, now=1.0, mode=UpdateMode.COMPLETE):
-    return dispatcher.handle(now, io.FleetUpdate(mode, entries))
+    return dispatcher.handle(now, FleetUpdate(mode, entries))
 
 
 def submit(dispatcher, request, name="safe", now=2.0, left=5000.0, **more):
-    return dispatcher.handle(now, io.Submitted(request, name, left, **more))
+    return dispatcher.handle(now, Submitted(request, name, left, **more))
 
 
 def end_attempt(dispatcher, request, outcome, now, attempt=0, answered=None, elapsed=50.0, report=None):
     answered = outcome is Outcome.OK if answered is None else answered
-    return dispatcher.handle(now, io.AttemptEnded(request, attempt, outcome, elapsed, answered, report))
+    return dispatcher.handle(now, AttemptEnded(request, attempt, outcome, elapsed, answered, report))
 
 
 def actions_of(actions, kind):
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -5,8 +5,7 @@
 import pytest
 from helpers import SAFE, entry, make_dispatcher, update_fleet
 
-from molespur import interface as io
-from molespur.interface import JobClass, Outcome
+from molespur.interface import AttemptEnded, JobClass, Outcome, Send, Submitted, TimerFired
 
 WINDOW, COLD, SHARE, MULTIPLE, SLOTS, STEP = 3000.0, 23000.0, 0.14, 3.0, 8, 50
 CLASS = JobClass("job", aim_ms=20_000, deadline_ms=20_000)
@@ -64,7 +63,7 @@
             worker.out.remove(one)
             _, d, send, outcome, sent = one
             number, ok = d.sent[send.request] - 1, outcome is Outcome.OK
-            events.append((d, io.AttemptEnded(send.request, number, outcome, now - sent, ok)))
+            events.append((d, AttemptEnded(send.request, number, outcome, now - sent, ok)))
         for d in fleet:
             if d.told_at is not None and d.told_at <= now:
                 update_fleet(d, entry("w", born=worker.born), now=now)
@@ -75,11 +74,11 @@
                 # there is always a job to send: clients bring more than the worker may get
                 d.number += 1
                 d.works[d.number] = min(max(rng.lognormvariate(0, 0.4) * work, work / 4), work * 4)
-                events.append((d, io.Submitted(d.number, "job", 20_000.0, work_hint_ms=d.works[d.number])))
-            events.append((d, io.TimerFired("due")))
+                events.append((d, Submitted(d.number, "job", 20_000.0, work_hint_ms=d.works[d.number])))
+            events.append((d, TimerFired("due")))
         for d, event in events:
             for action in d.handle(now, event):
-                if isinstance(action, io.Send):
+                if isinstance(action, Send):
                     d.sent[action.request] = d.sent.get(action.request, 0) + 1
                     worker.took(d, action, d.works[action.request], now)
     return cold
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -8,14 +8,30 @@
 from helpers import SAFE, UNSAFE, actions_of, end_attempt, entry, make_dispatcher, submit, update_fleet
 
 from molespur import Settings
-from molespur import interface as io
-from molespur.interface import JobClass, Outcome, Tenant
+from molespur.interface import (
+    Cancel,
+    ColdUsage,
+    FleetUpdate,
+    JobClass,
+    Lifecycle,
+    Outcome,
+    Probe,
+    ProbeEnded,
+    Refuse,
+    Send,
+    SharedState,
+    Submitted,
+    Tenant,
+    TimerFired,
+    UpdateMode,
+    Watch,
+)
 from molespur.records import Job
 
 
 def d_job(d, n, cls="safe", **more):
     more.setdefault("work_hint_ms", 100.0)
-    return Job(io.Submitted(n, cls, 5000.0, **more), d.classes[cls], 3, d.now)
+    return Job(Submitted(n, cls, 5000.0, **more), d.classes[cls], 3, d.now)
 
 
 def pace(d, **paces):
@@ -31,10 +47,10 @@
     for n in range(400):
         now += 300
         hint = rng.uniform(50, 150)
-        for send in actions_of(submit(d, n, now=now, work_hint_ms=hint), io.Send):
+        for send in actions_of(submit(d, n, now=now, work_hint_ms=hint), Send):
             took = hint * (0.5 if send.worker == "quick" else 2.0)
             end_attempt(d, n, Outcome.OK, now + took, elapsed=took)
-        d.handle(now + 290, io.TimerFired("due"))
+        d.handle(now + 290, TimerFired("due"))
     quick, slow = (d.workers[n].slope for n in ("quick", "slow"))
     assert quick < 0.75 < slow
 
@@ -103,18 +119,18 @@
 def test_lowest_priority_is_refused_unsent_when_none_can_meet():
     d = make_dispatcher(classes=(JobClass("low", 100, 5000), UNSAFE))
     update_fleet(d, entry("w"))
-    assert actions_of(submit(d, 1, "low", work_hint_ms=4000.0), io.Refuse)
-    assert actions_of(submit(d, 2, "unsafe", now=3.0, work_hint_ms=400.0), io.Send)
+    assert actions_of(submit(d, 1, "low", work_hint_ms=4000.0), Refuse)
+    assert actions_of(submit(d, 2, "unsafe", now=3.0, work_hint_ms=400.0), Send)
 
 
 def test_needed_kind_slots_and_memory_bound_the_choice():
     cls = JobClass("bound", 500, 5000, kind="x")
     d = make_dispatcher(classes=(cls, SAFE))
     update_fleet(d, entry("a", kind="y"), entry("b", kind="x"))
-    assert actions_of(submit(d, 1, "bound", work_hint_ms=50.0), io.Send)[0].worker == "b"
+    assert actions_of(submit(d, 1, "bound", work_hint_ms=50.0), Send)[0].worker == "b"
     d.workers["a"].learn_slots(2)
     d.workers["b"].learn_slots(4)
-    assert actions_of(submit(d, 2, now=3.0, memory=3.0, work_hint_ms=50.0), io.Send)[0].worker == "b"
+    assert actions_of(submit(d, 2, now=3.0, memory=3.0, work_hint_ms=50.0), Send)[0].worker == "b"
 
 
 def test_over_share_jobs_yield_first():
@@ -134,11 +150,11 @@
     now, bad = 10.0, 0
     for n in range(200):
         now += 40
-        for send in actions_of(submit(d, n, now=now, work_hint_ms=100.0), io.Send):
+        for send in actions_of(submit(d, n, now=now, work_hint_ms=100.0), Send):
             bad += send.worker == "w0"
             outcome = Outcome.ERROR if send.worker == "w0" else Outcome.OK
             again = end_attempt(d, n, outcome, now + 2, elapsed=2.0)
-            for more in actions_of(again, io.Send):
+            for more in actions_of(again, Send):
                 bad += more.worker == "w0"
                 end_attempt(d, n, Outcome.OK, now + 30, attempt=1, elapsed=28.0)
     assert bad <= 8
@@ -151,11 +167,11 @@
     sends, now = 1, 5.0
     actions = end_attempt(d, 1, Outcome.FULL, now)
     while now < 60.0:
-        for _ in actions_of(actions, io.Send):
+        for _ in actions_of(actions, Send):
             sends += 1
             end_attempt(d, 1, Outcome.FULL, now, attempt=sends - 1)
         now += 5
-        actions = d.handle(now, io.TimerFired("due"))
+        actions = d.handle(now, TimerFired("due"))
     assert sends <= 3
 
 
@@ -277,17 +293,17 @@
     update_fleet(d, entry("w"))
     first = d_job(d, 1)
     state = d.classes["safe"]
-    again = type(first)(io.Submitted(2, "safe", 4600.0, work_hint_ms=100.0), state, 3, d.now)
+    again = type(first)(Submitted(2, "safe", 4600.0, work_hint_ms=100.0), state, 3, d.now)
     assert again.aim_at == pytest.approx(first.aim_at - 400)
 
 
 def test_watch_is_asked_for_again_after_an_error():
     d = make_dispatcher(subscribes=True, must_ask_in_ms=4000.0)
-    d.handle(5.0, io.FleetUpdate(io.UpdateMode.ERROR))
+    d.handle(5.0, FleetUpdate(UpdateMode.ERROR))
     asked, now = 0, 5.0
     while now < 4000:
         now += 50
-        asked += len(actions_of(d.handle(now, io.TimerFired("due")), io.Watch))
+        asked += len(actions_of(d.handle(now, TimerFired("due")), Watch))
     assert 1 <= asked <= 8
 
 
@@ -298,7 +314,7 @@
         seen, now = [], 1.0
         while now < 3000:
             now += 20
-            seen += actions_of(d.handle(now, io.TimerFired("due")), io.Probe)
+            seen += actions_of(d.handle(now, TimerFired("due")), Probe)
         assert bool(seen) is allowed
 
 
@@ -345,8 +361,8 @@
     sent, now = 0, 10.0
     for n in range(80):
         now += 100
-        sent += len(actions_of(submit(d, n, now=now, work_hint_ms=300.0), io.Send))
-        sent += len(actions_of(d.handle(now + 50, io.TimerFired("due")), io.Send))
+        sent += len(actions_of(submit(d, n, now=now, work_hint_ms=300.0), Send))
+        sent += len(actions_of(d.handle(now + 50, TimerFired("due")), Send))
     assert 1 <= sent <= 6
 
 
@@ -365,7 +381,7 @@
     for n in range(4):
         submit(d, n, "nil", now=10.0 + 3000 * n, work_hint_ms=100.0)
         end_attempt(d, n, Outcome.OK, 2510.0 + 3000 * n, elapsed=2500.0)
-    assert actions_of(submit(d, 9, now=20000.0, work_hint_ms=50.0), io.Send)
+    assert actions_of(submit(d, 9, now=20000.0, work_hint_ms=50.0), Send)
 
 
 def test_cold_worker_is_not_taken_for_as_busy_as_the_warm_ones():
@@ -385,7 +401,7 @@
     """Guards against jobs spread so thin that no worker is ever known, and against the cost of a choice."""
     d = make_dispatcher(cpu_per_request_us=10.0, zone="a")
     update_fleet(d, *(entry(f"w{n}", zone="abcde"[n % 5]) for n in range(200)))
-    sent = Counter(s.worker for n in range(100) for s in actions_of(submit(d, n, now=10.0 + n), io.Send))
+    sent = Counter(s.worker for n in range(100) for s in actions_of(submit(d, n, now=10.0 + n), Send))
     few = d.live[: d.subset_size]
     assert set(sent) <= {w.id for w in few}
     assert 0.2 * d.subset_size < sum(w.zone == "a" for w in few) < 0.8 * d.subset_size
@@ -400,7 +416,7 @@
     few = {w.id for w in d.live[: d.subset_size]}
     for worker in d.live[: d.subset_size]:
         worker.full_until = 1e6
-    (send,) = actions_of(submit(d, 1), io.Send)
+    (send,) = actions_of(submit(d, 1), Send)
     assert send.worker not in few
 
 
@@ -437,7 +453,7 @@
         if now % 300 == 0:
             fed += 1
             submit(d, now, now=float(now))
-        probes += len(actions_of(d.handle(float(now), io.TimerFired("due")), io.Probe))
+        probes += len(actions_of(d.handle(float(now), TimerFired("due")), Probe))
     assert fed < probes < 3 * fed
 
 
@@ -453,7 +469,10 @@
             homes.setdefault(key, Counter()).update(chosen)
     assert all(seen.most_common(1)[0][1] >= 21 for seen in homes.values())
     assert len({seen.most_common(1)[0][0] for seen in homes.values()}) == 8
-    d.handle(3.0, io.FleetUpdate(io.UpdateMode.PARTIAL, (entry("w1", life=io.Lifecycle.GONE),)))
+    d.handle(
+        3.0,
+        FleetUpdate(UpdateMode.PARTIAL, (entry("w1", life=Lifecycle.GONE),)),
+    )
     assert not any("w1" in d.preferred[k] for k in range(40) if d._key_match(d.workers["w0"], k) >= 0)
 
 
@@ -466,8 +485,8 @@
     for w in d.live:
         w.keys.update({n: None for n in range(20)})
     d.preferred = {n: {} for n in range(100)}
-    assert not actions_of(submit(d, 1, key=50, work_hint_ms=100.0), io.Send) and len(d.held) == 1
-    assert actions_of(submit(d, 2, key=19, work_hint_ms=100.0, now=3.0), io.Send)
+    assert not actions_of(submit(d, 1, key=50, work_hint_ms=100.0), Send) and len(d.held) == 1
+    assert actions_of(submit(d, 2, key=19, work_hint_ms=100.0, now=3.0), Send)
 
 
 def test_a_key_asked_for_by_many_has_many_homes():
@@ -504,24 +523,24 @@
     d = make_dispatcher(may_probe=True, tells_start=False)
     update_fleet(d, entry("a", cell=1), entry("b", cell=1))
     given = [submit(d, n, work_hint_ms=100.0) for n in range(6)]
-    sent = {s.worker: s.request for actions in given for s in actions_of(actions, io.Send)}
-    d.handle(100.0, io.ProbeEnded("a", Outcome.TIMEOUT, 200.0))
+    sent = {s.worker: s.request for actions in given for s in actions_of(actions, Send)}
+    d.handle(100.0, ProbeEnded("a", Outcome.TIMEOUT, 200.0))
     assert not d.workers["a"].probation
-    called = actions_of(d.handle(400.0, io.ProbeEnded("a", Outcome.TIMEOUT, 200.0)), io.Cancel)
+    called = actions_of(d.handle(400.0, ProbeEnded("a", Outcome.TIMEOUT, 200.0)), Cancel)
     assert sent["a"] in {c.request for c in called} and sent["b"] not in {c.request for c in called}
-    moved = actions_of(end_attempt(d, sent["a"], Outcome.CANCELLED, 401.0), io.Send)
+    moved = actions_of(end_attempt(d, sent["a"], Outcome.CANCELLED, 401.0), Send)
     assert [s.worker for s in moved] == ["b"]
 
 
 def test_asking_for_the_watch_does_not_double_at_each_error():
     """Guards against a discovery that is down being asked so often that each asking cuts off the last."""
     d, now, asked = make_dispatcher(subscribes=True, must_ask_in_ms=10000.0), 0.0, 1
-    update_fleet(d, now=now, mode=io.UpdateMode.ERROR)
+    update_fleet(d, now=now, mode=UpdateMode.ERROR)
     for _ in range(600):
         now += 50.0
-        for _ in actions_of(d.handle(now, io.TimerFired("due")), io.Watch):
+        for _ in actions_of(d.handle(now, TimerFired("due")), Watch):
             asked += 1
-            update_fleet(d, now=now, mode=io.UpdateMode.ERROR)
+            update_fleet(d, now=now, mode=UpdateMode.ERROR)
     assert 5 <= asked <= 24  # 30 s: waits of up to 0.2 s, which doubles up to 5 s
 
 
@@ -529,7 +548,7 @@
     """The work that a cold worker is allowed of n jobs of 100 ms that come at once."""
     d.now = 30.0
     for i in range(n):
-        job = Job(io.Submitted(i, "safe", 5000.0, work_hint_ms=100.0), d.classes["safe"], 3, d.now)
+        job = Job(Submitted(i, "safe", 5000.0, work_hint_ms=100.0), d.classes["safe"], 3, d.now)
         if d._cold_allows(d.workers["new"], job):
             d._send(job, d.workers["new"], None)
     return d._cold_budget(d.workers["new"])[2]
@@ -543,10 +562,10 @@
         state.mean = d.mean_run = 100.0  # sends count for at least their class's mean
     may = d._cold_budget(d.workers["new"])[1]
     parts = {} if part is None else {"new": part}
-    (use,) = actions_of(d.handle(20.0, io.SharedState(parts)), io.ColdUsage) or (None,)
+    (use,) = actions_of(d.handle(20.0, SharedState(parts)), ColdUsage) or (None,)
     sent = cold_work(d)
     assert of_all * may - 200.0 < sent <= of_all * may + 1e-6
-    (use,) = actions_of(d.handle(40.0, io.SharedState({"new": 0.5})), io.ColdUsage)
+    (use,) = actions_of(d.handle(40.0, SharedState({"new": 0.5})), ColdUsage)
     assert use.worker == "new" and use.sent_share == pytest.approx(sent / may, rel=0.01)
     assert use.requested_share > of_all - 0.01, "more was asked for than it got"
 
@@ -554,11 +573,11 @@
 def test_a_worker_that_is_bad_for_all_rests_and_is_tried_again_with_care():
     d = make_dispatcher()
     update_fleet(d, entry("w0"), entry("w1"), entry("w2"))
-    d.handle(5.0, io.SharedState(bad_workers=frozenset({"w1", "unknown"})))
+    d.handle(5.0, SharedState(bad_workers=frozenset({"w1", "unknown"})))
     assert d.ejected_workers(6.0) == {"w1"} and d.workers["w1"].probation
-    d.handle(7.0, io.SharedState(bad_workers=frozenset({"w1"})))
+    d.handle(7.0, SharedState(bad_workers=frozenset({"w1"})))
     assert d.workers["w1"].ejections == 1, "told again while it rests: no further strike"
-    d.handle(8.0, io.SharedState(bad_workers=frozenset({"w0", "w1", "w2"})))
+    d.handle(8.0, SharedState(bad_workers=frozenset({"w0", "w1", "w2"})))
     assert d.ejected_workers(9.0) == set(), "too many would be: none is"
 
 
@@ -566,8 +585,8 @@
 def test_without_retries_left_only_what_was_never_sent_goes_on(outcome):
     d = make_dispatcher()
     update_fleet(d, entry("w0"), entry("w1"), entry("w2"))
-    d.handle(5.0, io.SharedState(retries_left=0.0))
+    d.handle(5.0, SharedState(retries_left=0.0))
     submit(d, 7, now=10.0)
     actions = end_attempt(d, 7, outcome, 20.0)
-    assert bool(actions_of(actions, io.Send)) is (outcome is Outcome.MOOT)
-    assert bool(actions_of(actions, io.Refuse)) is (outcome is Outcome.RESET)
+    assert bool(actions_of(actions, Send)) is (outcome is Outcome.MOOT)
+    assert bool(actions_of(actions, Refuse)) is (outcome is Outcome.RESET)
--- a/tests/test_random_events.py
+++ b/tests/test_random_events.py
@@ -6,8 +6,25 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from molespur import interface as io
-from molespur.interface import NEVER_RAN, Effect, Group, Lifecycle, Outcome, UpdateMode
+from molespur.interface import (
+    NEVER_RAN,
+    AttemptEnded,
+    ClientGone,
+    Effect,
+    Fail,
+    FleetUpdate,
+    Group,
+    Lifecycle,
+    Outcome,
+    Progressed,
+    Refuse,
+    Send,
+    SetTimer,
+    Started,
+    Submitted,
+    TimerFired,
+    UpdateMode,
+)
 
 BY_NAME = {c.name: c for c in CLASSES}
 
@@ -24,20 +41,20 @@
         self.out = []  # (id, attempt number)
         self.timers, self.cold_sent = [], {}
         self.next_id = 0
-        self.act(self.d.handle(self.now, io.Started()))
+        self.act(self.d.handle(self.now, Started()))
 
     def act(self, actions):
         for a in actions:
-            if isinstance(a, io.SetTimer):
+            if isinstance(a, SetTimer):
                 self.timers.append(self.now + a.delay_ms)
-            elif isinstance(a, io.Send):
+            elif isinstance(a, Send):
                 self.check_send(a)
-            elif isinstance(a, io.Refuse | io.Fail):
+            elif isinstance(a, Refuse | Fail):
                 cls, deadline, attempts, final = self.jobs[a.request]
                 assert final is None and self.now <= deadline + 8
                 ran = [t for t in attempts if t[2] not in NEVER_RAN]
                 keyed_all = cls.effect is Effect.KEYED and cls.group is Group.ALL
-                if isinstance(a, io.Refuse) and ran:
+                if isinstance(a, Refuse) and ran:
                     assert cls.effect is Effect.SAFE or keyed_all
                 self.jobs[a.request][3] = a
 
@@ -76,7 +93,7 @@
             self.now = max(self.now, first)
             if first in self.timers:
                 self.timers.remove(first)
-                self.act(self.d.handle(self.now, io.TimerFired("due")))
+                self.act(self.d.handle(self.now, TimerFired("due")))
                 continue
             request = next(r for r, end in ends.items() if end == first)
             held = [n for r, n in self.out if r == request]
@@ -96,17 +113,17 @@
             left = self.rng.choice([0.0, 30.0, 800.0, 5000.0])
             hint = 50.0
             self.jobs[self.next_id] = [BY_NAME[name], self.now + left, [], None]
-            job = io.Submitted(self.next_id, name, left, 1.0, work_hint_ms=hint)
+            job = Submitted(self.next_id, name, left, 1.0, work_hint_ms=hint)
             self.next_id += 1
             self.act(self.d.handle(self.now, job))
         elif roll < 0.55 and self.jobs:
             request = self.rng.choice(list(self.jobs))
             if self.jobs[request][3] is None:
                 self.jobs[request][3] = "gone"
-                self.act(self.d.handle(self.now, io.ClientGone(request)))
+                self.act(self.d.handle(self.now, ClientGone(request)))
         elif roll < 0.7 and self.out:
             request, number = self.rng.choice(self.out)
-            self.act(self.d.handle(self.now, io.Progressed(request, number)))
+            self.act(self.d.handle(self.now, Progressed(request, number)))
         elif self.out:
             odds = [Outcome.OK] * 6 + [o for o in Outcome if o is not Outcome.OK]
             self.finish(*self.rng.choice(self.out), self.rng.choice(odds))
@@ -120,7 +137,7 @@
         if outcome is Outcome.OK and job[3] is None:
             job[3] = "served"
         elapsed = self.now - attempt[1]
-        self.act(self.d.handle(self.now, io.AttemptEnded(request, number, outcome, elapsed, done)))
+        self.act(self.d.handle(self.now, AttemptEnded(request, number, outcome, elapsed, done)))
 
     def change_fleet(self):
         name = f"w{self.rng.randrange(8)}"
@@ -131,7 +148,7 @@
             self.cold_sent.pop(name, None)
         new = entry(name, zone="ab"[int(name[1]) % 2], cell=int(name[1]) % 3, life=life, born=born)
         self.fleet[name] = new
-        self.act(self.d.handle(self.now, io.FleetUpdate(UpdateMode.PARTIAL, (new,))))
+        self.act(self.d.handle(self.now, FleetUpdate(UpdateMode.PARTIAL, (new,))))
 
 
 @settings(derandomize=True, deadline=None, max_examples=12)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,8 +5,21 @@
 import pytest
 from helpers import KEYED, actions_of, end_attempt, entry, make_dispatcher, submit, update_fleet
 
-from molespur import interface as io
-from molespur.interface import NEVER_RAN, Group, Lifecycle, Outcome, UpdateMode
+from molespur.interface import (
+    NEVER_RAN,
+    Cancel,
+    ClientGone,
+    Fail,
+    Group,
+    Lifecycle,
+    Outcome,
+    Refuse,
+    Send,
+    StreamBegun,
+    Submitted,
+    TimerFired,
+    UpdateMode,
+)
 from molespur.records import Job
 
 FAILURES = [o for o in Outcome if o is not Outcome.OK]
@@ -24,9 +37,9 @@
 
 def drive(dispatcher, actions, request, now, until):
     """Follow timers until the request is acted on again or time is up."""
-    while not actions_of(actions, (io.Send, io.Refuse, io.Fail)) and now < until:
+    while not actions_of(actions, (Send, Refuse, Fail)) and now < until:
         now += 20
-        actions = dispatcher.handle(now, io.TimerFired("due"))
+        actions = dispatcher.handle(now, TimerFired("due"))
     return actions, now
 
 
@@ -34,12 +47,12 @@
 def test_unsafe_goes_again_only_on_proof(outcome):
     d = make_dispatcher()
     update_fleet(d, *FLEET)
-    assert actions_of(submit(d, 7, "unsafe"), io.Send)
+    assert actions_of(submit(d, 7, "unsafe"), Send)
     actions, _ = drive(d, end_attempt(d, 7, outcome, 60), 7, 60, 6000)
     if outcome in NEVER_RAN:
-        assert actions_of(actions, (io.Send, io.Refuse)) and not actions_of(actions, io.Fail)
+        assert actions_of(actions, (Send, Refuse)) and not actions_of(actions, Fail)
     else:
-        assert actions_of(actions, io.Fail) and not actions_of(actions, (io.Send, io.Refuse))
+        assert actions_of(actions, Fail) and not actions_of(actions, (Send, Refuse))
 
 
 @pytest.mark.parametrize("outcome", FAILURES)
@@ -48,7 +61,7 @@
     update_fleet(d, *FLEET)
     submit(d, 7)
     actions, _ = drive(d, end_attempt(d, 7, outcome, 60), 7, 60, 6000)
-    assert len(actions_of(actions, io.Send)) == 1
+    assert len(actions_of(actions, Send)) == 1
 
 
 @pytest.mark.parametrize("group", list(Group))
@@ -57,14 +70,14 @@
     for seed in range(8):
         d = make_dispatcher(seed)
         update_fleet(d, *FLEET)
-        home = at(actions_of(submit(d, 7, KEYED[group].name), io.Send)[0].worker)
+        home = at(actions_of(submit(d, 7, KEYED[group].name), Send)[0].worker)
         actions, _ = drive(d, end_attempt(d, 7, outcome, 60), 7, 60, 6000)
-        for send in actions_of(actions, io.Send):
+        for send in actions_of(actions, Send):
             there = at(send.worker)
             assert group is not Group.ZONE or there.zone == home.zone
             assert group is not Group.CELL or there.cell == home.cell
         if group is not Group.ALL:
-            assert not actions_of(actions, io.Refuse)
+            assert not actions_of(actions, Refuse)
 
 
 @pytest.mark.parametrize("group", list(Group))
@@ -73,8 +86,8 @@
     update_fleet(d, *FLEET)
     submit(d, 7, KEYED[group].name, work_hint_ms=100.0)
     actions, _ = drive(d, end_attempt(d, 7, Outcome.ERROR, 2500), 7, 2500, 6000)
-    assert not actions_of(actions, io.Send)
-    assert actions_of(actions, io.Refuse if group is Group.ALL else io.Fail)
+    assert not actions_of(actions, Send)
+    assert actions_of(actions, Refuse if group is Group.ALL else Fail)
 
 
 @pytest.mark.parametrize("life", [Lifecycle.DRAINING, Lifecycle.GONE])
@@ -83,43 +96,43 @@
     update_fleet(d, entry("w1"), entry("w2"))
     update_fleet(d, entry("w1", life=life), now=5.0, mode=UpdateMode.PARTIAL)
     for n in range(20):
-        assert {a.worker for a in actions_of(submit(d, n, now=10.0 + n), io.Send)} <= {"w2"}
+        assert {a.worker for a in actions_of(submit(d, n, now=10.0 + n), Send)} <= {"w2"}
 
 
 def test_complete_list_drops_what_it_does_not_name():
     d = make_dispatcher()
     update_fleet(d, entry("w1"), entry("w2"))
     update_fleet(d, entry("w2"), now=5.0)
-    assert {a.worker for n in range(9) for a in actions_of(submit(d, n, now=10.0 + n), io.Send)} == {"w2"}
+    assert {a.worker for n in range(9) for a in actions_of(submit(d, n, now=10.0 + n), Send)} == {"w2"}
 
 
 def test_held_job_is_answered_before_its_client_gives_up():
     d = make_dispatcher()
-    assert not actions_of(submit(d, 7, left=1000.0), (io.Send, io.Refuse, io.Fail))  # empty fleet
+    assert not actions_of(submit(d, 7, left=1000.0), (Send, Refuse, Fail))  # empty fleet
     actions, now = drive(d, [], 7, 2, 3000)
-    assert actions_of(actions, io.Refuse) and now < 1002
+    assert actions_of(actions, Refuse) and now < 1002
 
 
 def test_no_time_left_is_refused_at_once():
     d = make_dispatcher()
     update_fleet(d, *FLEET)
-    assert actions_of(submit(d, 7, left=0.0), io.Refuse)
+    assert actions_of(submit(d, 7, left=0.0), Refuse)
 
 
 def test_timed_out_at_the_deadline_gets_its_final_answer():
     d = make_dispatcher()
     update_fleet(d, *FLEET)
     submit(d, 7, "unsafe")
-    assert actions_of(end_attempt(d, 7, Outcome.TIMEOUT, 5002, elapsed=5000.0), io.Fail)
+    assert actions_of(end_attempt(d, 7, Outcome.TIMEOUT, 5002, elapsed=5000.0), Fail)
 
 
 def test_client_gone_forgets_the_request_and_late_outcomes_are_harmless():
     d = make_dispatcher()
     update_fleet(d, *FLEET)
     submit(d, 7)
-    assert actions_of(d.handle(50.0, io.ClientGone(7)), io.Cancel)
-    assert not actions_of(end_attempt(d, 7, Outcome.ERROR, 60), (io.Send, io.Refuse, io.Fail))
-    assert not actions_of(end_attempt(d, 7, Outcome.ERROR, 70), (io.Send, io.Refuse, io.Fail))
+    assert actions_of(d.handle(50.0, ClientGone(7)), Cancel)
+    assert not actions_of(end_attempt(d, 7, Outcome.ERROR, 60), (Send, Refuse, Fail))
+    assert not actions_of(end_attempt(d, 7, Outcome.ERROR, 70), (Send, Refuse, Fail))
     assert not d.jobs
 
 
@@ -127,8 +140,11 @@
     d = make_dispatcher()
     update_fleet(d, *FLEET)
     submit(d, 7)
-    d.handle(20.0, io.StreamBegun(7, 0))
-    assert not actions_of(end_attempt(d, 7, Outcome.RESET, 60, answered=True), (io.Send, io.Refuse, io.Fail))
+    d.handle(20.0, StreamBegun(7, 0))
+    assert not actions_of(
+        end_attempt(d, 7, Outcome.RESET, 60, answered=True),
+        (Send, Refuse, Fail),
+    )
     assert not d.jobs
 
 
@@ -138,7 +154,7 @@
     sent = 0
     for n in range(60):
         now = 110.0 + n * 10
-        sent += len(actions_of(submit(d, n, "unsafe", now=now, work_hint_ms=100.0), io.Send))
+        sent += len(actions_of(submit(d, n, "unsafe", now=now, work_hint_ms=100.0), Send))
     # a quarter of four slots, one second, half of it ours, three times over: 1500 ms of work at the most
     assert 1 <= sent <= 15
 
@@ -163,7 +179,7 @@
                 for state in d.classes.values():
                     state.mean = hint  # sends count for at least their class's mean
                 d.now = now
-                job = Job(io.Submitted(n, "safe", 5000.0, work_hint_ms=hint), d.classes["safe"], 3, now)
+                job = Job(Submitted(n, "safe", 5000.0, work_hint_ms=hint), d.classes["safe"], 3, now)
                 if d._cold_allows(d.workers["new"], job):
                     d._send(job, d.workers["new"], None)
                     sent += hint
