--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -1,4 +1,4 @@
-"""The design's parts: model, filter, tiers, draw, refusal; and each failure found so far."""
+"""The parts of a decision (model, filter, tiers, draw, refusal), and regression tests of past failures."""
 
 from collections import Counter
 from math import log
@@ -29,12 +29,12 @@
 from molespur.records import Job
 
 
-def d_job(d, n, cls="safe", **more):
+def make_job(d, n, cls="safe", **more):
     more.setdefault("work_hint_ms", 100.0)
     return Job(Submitted(n, cls, 5000.0, **more), d.classes[cls], 3, d.now)
 
 
-def pace(d, **paces):
+def set_pace(d, **paces):
     for name, value in paces.items():
         d.workers[name].pace = value
         d._set_slope(d.workers[name])
@@ -55,8 +55,8 @@
     assert quick < 0.75 < slow
 
 
-def test_a_lone_job_is_within_its_tenants_share_at_one_of_many():
-    """At 200 dispatchers a share of 20 jobs a second is one in 10 s at each: its first is not over it."""
+def test_a_single_job_is_within_its_tenants_quota_at_one_of_many_dispatchers():
+    """20 jobs a second over 200 dispatchers are one in 10 s at each: its first job is within the quota."""
     classes = (JobClass("low", 1000.0, 5000.0), JobClass("high", 1000.0, 5000.0, priority=1))
     d = make_dispatcher(classes=classes, balancers=200, tenants=(Tenant("t", 20.0),), over_share_worth=0.1)
     update_fleet(d, entry("w"))
@@ -78,52 +78,52 @@
 def test_draw_is_random_and_favours_most_headroom():
     d = make_dispatcher(2)
     update_fleet(d, entry("a"), entry("b"), entry("c"))
-    pace(d, b=0.1, c=0.2)
+    set_pace(d, b=0.1, c=0.2)
     drawn = Counter()
     for n in range(400):
-        job = d_job(d, n)
+        job = make_job(d, n)
         drawn[d._choose(job, d.live)[0].id] += 1
     assert drawn["a"] > drawn["b"] > drawn["c"] and drawn["b"] > 20
 
 
-def test_missing_tier_is_explored_a_little():
+def test_workers_that_miss_the_aim_are_explored_in_a_small_share():
     d = make_dispatcher(2)
     update_fleet(d, entry("good"), entry("bad"))
-    pace(d, bad=2.5)
-    drawn = Counter(d._choose(d_job(d, n), d.live)[0].id for n in range(3000))
+    set_pace(d, bad=2.5)
+    drawn = Counter(d._choose(make_job(d, n), d.live)[0].id for n in range(3000))
     assert 5 <= drawn["bad"] <= 90
 
 
-def test_smallest_deficit_in_the_missing_tier():
+def test_among_workers_that_miss_the_aim_the_smallest_deficit_is_preferred():
     d = make_dispatcher(2)
     update_fleet(d, entry("bad"), entry("worse"))
-    pace(d, bad=2.2, worse=2.5)
-    picks = [d._choose(d_job(d, n, "unsafe", work_hint_ms=900.0), d.live) for n in range(200)]
+    set_pace(d, bad=2.2, worse=2.5)
+    picks = [d._choose(make_job(d, n, "unsafe", work_hint_ms=900.0), d.live) for n in range(200)]
     assert not any(meets for _, _, meets, _ in picks)
     drawn = Counter(w.id for w, *_ in picks)
     assert drawn["bad"] > 2 * drawn["worse"]
 
 
-def test_warm_workers_keep_a_key_until_they_fall_behind():
+def test_a_worker_that_has_a_key_is_preferred_until_it_is_too_slow():
     d = make_dispatcher(4)
     update_fleet(d, *(entry(f"w{i}") for i in range(5)))
-    d.preferred[9] = {}  # only what was sent counts here
+    d.preferred[9] = {}  # only keys that were sent count here
     d.workers["w3"].keys[9] = None
-    drawn = Counter(d._choose(d_job(d, n, key=9), d.live)[0].id for n in range(300))
+    drawn = Counter(d._choose(make_job(d, n, key=9), d.live)[0].id for n in range(300))
     assert drawn["w3"] > 280
     d.workers["w3"].other_slots, d.workers["w3"].measured_at = 40.0, d.now
-    drawn = Counter(d._choose(d_job(d, n, key=9), d.live)[0].id for n in range(100))
+    drawn = Counter(d._choose(make_job(d, n, key=9), d.live)[0].id for n in range(100))
     assert drawn["w3"] < 10
 
 
-def test_lowest_priority_is_refused_unsent_when_none_can_meet():
+def test_lowest_priority_is_refused_unsent_when_no_worker_can_meet_the_aim():
     d = make_dispatcher(classes=(JobClass("low", 100, 5000), UNSAFE))
     update_fleet(d, entry("w"))
     assert actions_of(submit(d, 1, "low", work_hint_ms=4000.0), Refuse)
     assert actions_of(submit(d, 2, "unsafe", now=3.0, work_hint_ms=400.0), Send)
 
 
-def test_needed_kind_slots_and_memory_bound_the_choice():
+def test_needed_kind_slots_and_memory_limit_the_choice():
     cls = JobClass("bound", 500, 5000, kind="x")
     d = make_dispatcher(classes=(cls, SAFE))
     update_fleet(d, entry("a", kind="y"), entry("b", kind="x"))
@@ -133,7 +133,7 @@
     assert actions_of(submit(d, 2, now=3.0, memory=3.0, work_hint_ms=50.0), Send)[0].worker == "b"
 
 
-def test_over_share_jobs_yield_first():
+def test_jobs_over_their_tenants_quota_are_shed_first():
     d = make_dispatcher(classes=(UNSAFE,), tenants=(Tenant("t", 2.0),), over_share_worth=0.1)
     update_fleet(d, *(entry(f"w{i}") for i in range(4)))
     jobs = []
@@ -144,7 +144,7 @@
     assert jobs[-1].sheddable and jobs[-1].worth == pytest.approx(0.5)
 
 
-def test_fast_failing_worker_is_no_black_hole():
+def test_a_fast_failing_worker_does_not_attract_all_jobs():
     d = make_dispatcher(5)
     update_fleet(d, *(entry(f"w{i}") for i in range(4)))
     now, bad = 10.0, 0
@@ -160,7 +160,7 @@
     assert bad <= 8
 
 
-def test_full_worker_rests_and_jobs_keep_their_attempts():
+def test_jobs_do_not_use_up_their_attempts_on_full_workers():
     d = make_dispatcher(6)
     update_fleet(d, entry("w0"), entry("w1"))
     submit(d, 1, work_hint_ms=400.0)
@@ -175,7 +175,7 @@
     assert sends <= 3
 
 
-def test_slots_are_learnt_from_high_readings():
+def test_slots_are_learned_from_high_readings():
     d = make_dispatcher()
     update_fleet(d, entry("w"))
     w = d.workers["w"]
@@ -184,28 +184,28 @@
     assert w.slots > 3.5
 
 
-def test_large_job_waits_for_a_warm_worker_where_a_share_holds_usual_ones():
-    """Only where a dispatcher's share is under a usual job may single jobs exceed it."""
+def test_a_large_job_waits_for_a_warm_worker_where_a_share_holds_usual_jobs():
+    """Single jobs may exceed a dispatcher's share only where that is smaller than a usual job."""
     d = make_dispatcher(cold_ms=60_000.0)
     update_fleet(d, entry("new", born=1.0))
     for _ in range(20):
         d.classes["safe"].learn_run(100.0)
     d.mean_run = 100.0
-    large = d_job(d, 1, work_hint_ms=4000.0)
+    large = make_job(d, 1, work_hint_ms=4000.0)
     d.now, d.workers["new"].large_job_since = 30_000.0, -1e9
     assert not d._cold_allows(d.workers["new"], large)
     d.mean_run = 4000.0
     assert d._cold_allows(d.workers["new"], large)
 
 
-def test_late_priority_jobs_raise_the_bar_for_cheaper_ones():
+def test_late_priority_jobs_raise_the_margin_for_cheaper_jobs():
     d = make_dispatcher(classes=(JobClass("low", 500, 5000), UNSAFE), worth_by_work=True)
     update_fleet(d, entry("w"))
     for n in range(8):
         d.workers["w"].other_slots, d.workers["w"].measured_at = (
             40.0,
             10.0 + 3000 * n,
-        )  # others' jobs have it waiting
+        )  # jobs of others make it wait
         submit(d, n, "unsafe", now=10.0 + 3000 * n, work_hint_ms=100.0)
         end_attempt(d, n, Outcome.OK, 10.0 + 3000 * n + 900, elapsed=900.0)
     assert d.margins[None][0] > 0.5
@@ -216,8 +216,8 @@
     assert d.margins[None][0] < before
 
 
-def test_a_job_that_only_its_hint_made_late_does_not_raise_the_bar():
-    """Guards against refusals on a calm day: with rough hints many jobs look late though none had to wait."""
+def test_a_job_that_is_late_only_by_its_hint_does_not_raise_the_margin():
+    """Guards against refusals at low load: with rough hints many jobs look late though none had to wait."""
     d = make_dispatcher(classes=(JobClass("low", 500, 5000), UNSAFE), worth_by_work=True)
     update_fleet(d, *(entry(f"w{n}") for n in range(4)))
     for n in range(8):
@@ -226,8 +226,8 @@
     assert d.margins[None][0] == 0.0
 
 
-def test_an_expected_key_miss_is_no_slowness_of_the_worker():
-    """Guards against workers that look ever slower, and are shunned, because keys are seldom found there."""
+def test_an_expected_key_miss_does_not_count_as_slowness_of_the_worker():
+    """Guards against workers that look ever slower, and get no jobs, since they seldom have the keys."""
     d = make_dispatcher(tells_start=False)
     update_fleet(d, entry("w"))
     w, now = d.workers["w"], 10.0
@@ -240,7 +240,7 @@
 
 
 def test_rough_hints_do_not_swing_a_workers_pace():
-    """Guards against pace that follows the latest hint's error instead of the worker."""
+    """Guards against a pace that follows the error of the latest hint instead of the worker."""
     d = make_dispatcher(tells_start=False, progress_ms=0.0)
     update_fleet(d, entry("w"))
     rng, now, seen = Random(5), 10.0, []
@@ -253,9 +253,9 @@
     assert max(seen) - min(seen) < 0.9
 
 
-@pytest.mark.parametrize("told, most, least", [(True, 1.2, 1.0), (False, 0.3, 0.0)])
-def test_hints_count_as_far_as_finished_jobs_bear_them_out(told, most, least):
-    """Guards against aims and forecasts that follow rough hints: small hints were refused on idle workers."""
+@pytest.mark.parametrize("informative, max_slope, min_slope", [(True, 1.2, 1.0), (False, 0.3, 0.0)])
+def test_hints_are_trusted_as_far_as_finished_jobs_confirm_them(informative, max_slope, min_slope):
+    """Guards against aims and forecasts that follow rough hints: small jobs were refused on idle workers."""
     d = make_dispatcher(tells_start=False, progress_ms=0.0)
     update_fleet(d, entry("w"))
     rng, now = Random(6), 10.0
@@ -263,13 +263,13 @@
         now += 5000
         hint = 200.0 * rng.lognormvariate(0, 1)
         submit(d, n, "unsafe", now=now, work_hint_ms=hint)
-        took = sum(d.jobs[n].attempts[0].sample[2:4]) + (hint if told else 200.0)
+        took = sum(d.jobs[n].attempts[0].sample[2:4]) + (hint if informative else 200.0)
         end_attempt(d, n, Outcome.OK, now + took, elapsed=took)
     state = d.classes["unsafe"]
-    assert least * 0.8 <= log(state.expected_run(800.0) / state.expected_run(100.0)) / log(8) <= most
+    assert min_slope * 0.8 <= log(state.expected_run(800.0) / state.expected_run(100.0)) / log(8) <= max_slope
 
 
-def test_unheard_worker_looks_slow():
+def test_the_forecast_grows_with_the_silence_of_a_worker():
     d = make_dispatcher()
     update_fleet(d, entry("w"))
     submit(d, 1, work_hint_ms=100.0)
@@ -280,7 +280,7 @@
     assert d._expected_wait(w, 1.0)[0] > near + 2000
 
 
-def test_time_out_without_a_word_is_a_strike():
+def test_a_timeout_without_contact_ejects_the_worker():
     d = make_dispatcher(tells_start=False)
     update_fleet(d, entry("w"))
     submit(d, 1, "unsafe")
@@ -288,26 +288,26 @@
     assert d.workers["w"].ejections == 1
 
 
-def test_repeats_are_aimed_from_the_first_try():
+def test_the_aim_of_a_retry_counts_from_the_first_attempt():
     d = make_dispatcher()
     update_fleet(d, entry("w"))
-    first = d_job(d, 1)
+    first = make_job(d, 1)
     state = d.classes["safe"]
     again = type(first)(Submitted(2, "safe", 4600.0, work_hint_ms=100.0), state, 3, d.now)
     assert again.aim_at == pytest.approx(first.aim_at - 400)
 
 
-def test_watch_is_asked_for_again_after_an_error():
+def test_the_watch_is_requested_again_after_an_error():
     d = make_dispatcher(subscribes=True, must_ask_in_ms=4000.0)
     d.handle(5.0, FleetUpdate(UpdateMode.ERROR))
-    asked, now = 0, 5.0
+    requests, now = 0, 5.0
     while now < 4000:
         now += 50
-        asked += len(actions_of(d.handle(now, TimerFired("due")), Watch))
-    assert 1 <= asked <= 8
+        requests += len(actions_of(d.handle(now, TimerFired("due")), Watch))
+    assert 1 <= requests <= 8
 
 
-def test_probes_only_where_permitted():
+def test_workers_are_probed_only_where_permitted():
     for allowed in (True, False):
         d = make_dispatcher(may_probe=allowed)
         update_fleet(d, entry("w"))
@@ -322,17 +322,17 @@
     ("field", "value"),
     [("balancers", 0), ("cold_start_share", 0.0), ("cold_ms", -1.0), ("max_attempts", float("nan"))],
 )
-def test_senseless_settings_name_the_field(field, value):
+def test_invalid_settings_name_the_field(field, value):
     with pytest.raises(ValueError, match=field):
         Settings(classes=(SAFE,), **{field: value})
 
 
-def test_senseless_class_names_the_field():
+def test_an_invalid_class_names_the_field():
     with pytest.raises(ValueError, match="deadline_ms"):
         JobClass("x", 1, 0)
 
 
-def test_queue_that_takes_no_more_is_not_sent_to():
+def test_nothing_is_sent_to_a_worker_whose_queue_is_full():
     d = make_dispatcher(9)
     update_fleet(d, entry("w"))
     w = d.workers["w"]
@@ -341,9 +341,9 @@
     end_attempt(d, 1, Outcome.FULL, 3.0)
     w.full_until = 0.0
     w.other_slots, w.measured_at = 6.0, d.now
-    assert d._choose(d_job(d, 2), d.live) is None
+    assert d._choose(make_job(d, 2), d.live) is None
     w.other_slots, w.measured_at = 1.0, d.now
-    assert d._choose(d_job(d, 3), d.live) is not None
+    assert d._choose(make_job(d, 3), d.live) is not None
 
 
 def test_cold_worker_is_forecast_as_one_with_fewer_slots():
@@ -355,7 +355,7 @@
     assert d._expected_wait(cold, 1.0)[0] > 10 * d._expected_wait(warm, 1.0)[0]
 
 
-def test_cold_worker_gets_jobs_even_where_a_share_is_smaller_than_one():
+def test_a_cold_worker_gets_jobs_even_where_a_share_is_smaller_than_a_job():
     d = make_dispatcher(balancers=8)
     update_fleet(d, entry("new", born=1.0))
     sent, now = 0, 10.0
@@ -366,16 +366,16 @@
     assert 1 <= sent <= 6
 
 
-def test_draw_prefers_its_own_zone_by_the_price_of_crossing():
+def test_the_draw_prefers_the_own_zone_by_the_price_of_crossing():
     shares = []
     for price in (0.0, 0.03):
         d = make_dispatcher(3, zone="a", cross_zone_price=price)
         update_fleet(d, entry("near", zone="a"), entry("far", zone="b"))
-        shares.append(sum(d._choose(d_job(d, n), d.live)[0].id == "near" for n in range(400)) / 400)
+        shares.append(sum(d._choose(make_job(d, n), d.live)[0].id == "near" for n in range(400)) / 400)
     assert shares[0] < 0.6 < 0.75 < shares[1]
 
 
-def test_classes_worth_nothing_are_no_fault():
+def test_classes_of_zero_worth_are_accepted():
     d = make_dispatcher(classes=(SAFE, JobClass("nil", 500, 5000, priority=1, worth=0)))
     update_fleet(d, entry("w"))
     for n in range(4):
@@ -384,8 +384,8 @@
     assert actions_of(submit(d, 9, now=20000.0, work_hint_ms=50.0), Send)
 
 
-def test_cold_worker_is_not_taken_for_as_busy_as_the_warm_ones():
-    """Others' unseen load on cold workers is learnt apart: warm ones' load must not shut them out."""
+def test_the_load_of_warm_workers_is_not_assumed_for_cold_ones():
+    """The load by others is learned apart for cold workers: that of warm ones must not exclude them."""
     d = make_dispatcher(balancers=9, cold_ms=60_000.0)
     update_fleet(d, entry("w"), entry("new", born=1.0))
     warm, cold = d.workers["w"], d.workers["new"]
@@ -397,8 +397,8 @@
     assert d._expected_wait(warm, 1.0)[0] > 3 * d._expected_wait(cold, 1.0)[0]
 
 
-def test_large_fleet_is_known_by_a_subset_that_favours_the_own_zone():
-    """Guards against jobs spread so thin that no worker is ever known, and against the cost of a choice."""
+def test_in_a_large_fleet_a_subset_that_favours_the_own_zone_is_used():
+    """Guards against jobs spread so thinly that no worker is ever known, and against the cost of a choice."""
     d = make_dispatcher(cpu_per_request_us=10.0, zone="a")
     update_fleet(d, *(entry(f"w{n}", zone="abcde"[n % 5]) for n in range(200)))
     sent = Counter(s.worker for n in range(100) for s in actions_of(submit(d, n, now=10.0 + n), Send))
@@ -410,7 +410,7 @@
     assert len({w.id for w in few} & {w.id for w in other.live[: other.subset_size]}) < d.subset_size
 
 
-def test_full_subset_does_not_stop_jobs_while_others_have_room():
+def test_a_full_subset_does_not_stop_jobs_while_others_have_room():
     d = make_dispatcher(cpu_per_request_us=10.0)
     update_fleet(d, *(entry(f"w{n}") for n in range(200)))
     few = {w.id for w in d.live[: d.subset_size]}
@@ -420,8 +420,8 @@
     assert send.worker not in few
 
 
-def test_usual_load_comes_from_reports_where_there_are_any():
-    """Own jobs times a hundred dispatchers would be noise, and shut out every worker not heard of lately."""
+def test_the_load_by_others_is_learned_from_reports_where_there_are_any():
+    """Own jobs times a hundred dispatchers would be noise, and exclude workers without a recent report."""
     d = make_dispatcher(balancers=100)
     update_fleet(d, *(entry(f"w{n}") for n in range(30)))
     for n, worker in enumerate(d.live):
@@ -434,8 +434,8 @@
 
 
 @pytest.mark.parametrize("outcome, passes", [(Outcome.FULL, 0), (Outcome.ERROR, 0), (Outcome.OK, 1)])
-def test_held_queue_is_gone_through_when_a_slot_frees(outcome, passes):
-    """Guards against its cost under overload, when most answers are full and none of them frees a slot."""
+def test_the_held_queue_is_scanned_when_a_slot_is_freed(outcome, passes):
+    """Guards against its cost under overload, when most outcomes are FULL, which frees no slot."""
     d = make_dispatcher(tells_start=False)
     update_fleet(d, entry("w"))
     calls = []
@@ -445,7 +445,7 @@
     assert len(calls) == passes
 
 
-def test_probes_are_as_many_as_the_price_allows_in_a_fleet_of_any_size():
+def test_the_rate_of_probes_follows_their_price_in_a_fleet_of_any_size():
     d = make_dispatcher(may_probe=True, probe_price=0.002)
     update_fleet(d, *(entry(f"w{n}") for n in range(200)))
     probes, fed = 0, 0
@@ -457,30 +457,27 @@
     assert fed < probes < 3 * fed
 
 
-def test_all_dispatchers_take_a_key_to_the_same_home_at_first_sight():
-    """Guards against keys that every dispatcher warms up at a worker of its own."""
+def test_all_dispatchers_prefer_the_same_worker_for_a_new_key():
+    """Guards against keys that each dispatcher brings to a worker of its own."""
     names = [f"w{n}" for n in range(8)]
-    homes = {}
+    preferred = {}
     for seed in range(6):
         d = make_dispatcher(seed)
         update_fleet(d, *(entry(name) for name in (names if seed % 2 else reversed(names))))
         for key in range(40):
-            chosen = [d._choose(d_job(d, 1, key=key), d.live)[0].id for _ in range(4)]
-            homes.setdefault(key, Counter()).update(chosen)
-    assert all(seen.most_common(1)[0][1] >= 21 for seen in homes.values())
-    assert len({seen.most_common(1)[0][0] for seen in homes.values()}) == 8
-    d.handle(
-        3.0,
-        FleetUpdate(UpdateMode.PARTIAL, (entry("w1", life=Lifecycle.GONE),)),
-    )
+            chosen = [d._choose(make_job(d, 1, key=key), d.live)[0].id for _ in range(4)]
+            preferred.setdefault(key, Counter()).update(chosen)
+    assert all(seen.most_common(1)[0][1] >= 21 for seen in preferred.values())
+    assert len({seen.most_common(1)[0][0] for seen in preferred.values()}) == 8
+    d.handle(3.0, FleetUpdate(UpdateMode.PARTIAL, (entry("w1", life=Lifecycle.GONE),)))
     assert not any("w1" in d.preferred[k] for k in range(40) if d._key_match(d.workers["w0"], k) >= 0)
 
 
-def test_a_held_job_keeps_no_other_of_its_class_waiting():
+def test_a_held_job_does_not_block_others_of_its_class():
     """Guards against a queue behind one job whose key is cold, while others would be in time at once."""
     d = make_dispatcher()
     update_fleet(d, entry("a"), entry("b"))
-    pace(d, a=0.7, b=0.7)
+    set_pace(d, a=0.7, b=0.7)
     d.mean_run = 2000.0  # a key miss makes any job late
     for w in d.live:
         w.keys.update({n: None for n in range(20)})
@@ -489,22 +486,24 @@
     assert actions_of(submit(d, 2, key=19, work_hint_ms=100.0, now=3.0), Send)
 
 
-def test_a_key_asked_for_by_many_has_many_homes():
-    """Guards against all dispatchers crowding one worker with the key that most jobs need."""
+def test_a_frequent_key_has_many_preferred_workers():
+    """Guards against all dispatchers overloading one worker with the key that most jobs need."""
     d = make_dispatcher()
     update_fleet(d, *(entry(f"w{n}") for n in range(10)))
     for n in range(200):
         submit(d, n, key=7 if n % 4 == 0 else 1000 + n, now=10.0 + n)
         end_attempt(d, n, Outcome.OK, 10.5 + n)
     d.preferred = {}
-    homes = {key: sum(d._key_match(w, key) > 0.8 and key not in w.keys for w in d.live) for key in (7, 2000)}
+    preferred = {
+        key: sum(d._key_match(w, key) > 0.8 and key not in w.keys for w in d.live) for key in (7, 2000)
+    }
     for w in d.live:
         w.keys.clear()
     warm = {key: sum(d._key_match(w, key) > 0.8 for w in d.live) for key in (7, 2000)}
-    assert warm[2000] == 1 and warm[7] >= 4 and homes[2000] == 1
+    assert warm[2000] == 1 and warm[7] >= 4 and preferred[2000] == 1
 
 
-def test_single_breaks_among_finished_jobs_rest_no_worker():
+def test_single_broken_connections_among_finished_jobs_eject_no_worker():
     """Guards against a lossy network that puts the whole fleet on probation, where keyed jobs go nowhere."""
     d = make_dispatcher(tells_start=False)
     update_fleet(d, entry("w"))
@@ -518,34 +517,34 @@
     assert d.workers["w"].probation
 
 
-def test_a_worker_that_answers_no_probe_is_rested_and_its_jobs_are_taken_elsewhere():
-    """Guards against jobs that wait out their deadline at a machine that has vanished."""
+def test_a_worker_that_answers_no_probe_is_ejected_and_its_jobs_go_elsewhere():
+    """Guards against jobs that wait until their deadline for a machine that is gone."""
     d = make_dispatcher(may_probe=True, tells_start=False)
     update_fleet(d, entry("a", cell=1), entry("b", cell=1))
-    given = [submit(d, n, work_hint_ms=100.0) for n in range(6)]
-    sent = {s.worker: s.request for actions in given for s in actions_of(actions, Send)}
+    submitted = [submit(d, n, work_hint_ms=100.0) for n in range(6)]
+    sent = {s.worker: s.request for actions in submitted for s in actions_of(actions, Send)}
     d.handle(100.0, ProbeEnded("a", Outcome.TIMEOUT, 200.0))
     assert not d.workers["a"].probation
-    called = actions_of(d.handle(400.0, ProbeEnded("a", Outcome.TIMEOUT, 200.0)), Cancel)
-    assert sent["a"] in {c.request for c in called} and sent["b"] not in {c.request for c in called}
+    cancels = actions_of(d.handle(400.0, ProbeEnded("a", Outcome.TIMEOUT, 200.0)), Cancel)
+    assert sent["a"] in {c.request for c in cancels} and sent["b"] not in {c.request for c in cancels}
     moved = actions_of(end_attempt(d, sent["a"], Outcome.CANCELLED, 401.0), Send)
     assert [s.worker for s in moved] == ["b"]
 
 
-def test_asking_for_the_watch_does_not_double_at_each_error():
-    """Guards against a discovery that is down being asked so often that each asking cuts off the last."""
-    d, now, asked = make_dispatcher(subscribes=True, must_ask_in_ms=10000.0), 0.0, 1
+def test_watch_requests_do_not_double_at_each_error():
+    """Guards against calls to a failed discovery so often that each cuts off the one before."""
+    d, now, requests = make_dispatcher(subscribes=True, must_ask_in_ms=10000.0), 0.0, 1
     update_fleet(d, now=now, mode=UpdateMode.ERROR)
     for _ in range(600):
         now += 50.0
         for _ in actions_of(d.handle(now, TimerFired("due")), Watch):
-            asked += 1
+            requests += 1
             update_fleet(d, now=now, mode=UpdateMode.ERROR)
-    assert 5 <= asked <= 24  # 30 s: waits of up to 0.2 s, which doubles up to 5 s
+    assert 5 <= requests <= 24  # 30 s: delays of up to 0.2 s, which doubles up to 5 s
 
 
-def cold_work(d, n=60):
-    """The work that a cold worker is allowed of n jobs of 100 ms that come at once."""
+def send_cold_work(d, n=60):
+    """Send n jobs of 100 ms at once as far as the cold budget allows; the work that is sent."""
     d.now = 30.0
     for i in range(n):
         job = Job(Submitted(i, "safe", 5000.0, work_hint_ms=100.0), d.classes["safe"], 3, d.now)
@@ -554,35 +553,35 @@
     return d._cold_budget(d.workers["new"])[2]
 
 
-@pytest.mark.parametrize(("part", "of_all"), [(None, 0.25), (0.5, 0.5), (1.0, 1.0), (0.0, 0.0)])
-def test_a_cold_worker_gets_the_part_that_the_schedulers_agree_on(part, of_all):
+@pytest.mark.parametrize(("share", "expected_share"), [(None, 0.25), (0.5, 0.5), (1.0, 1.0), (0.0, 0.0)])
+def test_a_cold_worker_gets_the_share_that_the_schedulers_agree_on(share, expected_share):
     d = make_dispatcher(balancers=4, cold_ms=60_000.0, cold_window_ms=4000.0)
     update_fleet(d, entry("new", born=1.0))
     for state in d.classes.values():
         state.mean = d.mean_run = 100.0  # sends count for at least their class's mean
-    may = d._cold_budget(d.workers["new"])[1]
-    parts = {} if part is None else {"new": part}
-    (use,) = actions_of(d.handle(20.0, SharedState(parts)), ColdUsage) or (None,)
-    sent = cold_work(d)
-    assert of_all * may - 200.0 < sent <= of_all * may + 1e-6
-    (use,) = actions_of(d.handle(40.0, SharedState({"new": 0.5})), ColdUsage)
-    assert use.worker == "new" and use.sent_share == pytest.approx(sent / may, rel=0.01)
-    assert use.requested_share > of_all - 0.01, "more was asked for than it got"
+    limit = d._cold_budget(d.workers["new"])[1]
+    shares = {} if share is None else {"new": share}
+    (usage,) = actions_of(d.handle(20.0, SharedState(shares)), ColdUsage) or (None,)
+    sent = send_cold_work(d)
+    assert expected_share * limit - 200.0 < sent <= expected_share * limit + 1e-6
+    (usage,) = actions_of(d.handle(40.0, SharedState({"new": 0.5})), ColdUsage)
+    assert usage.worker == "new" and usage.sent_share == pytest.approx(sent / limit, rel=0.01)
+    assert usage.requested_share > expected_share - 0.01, "more was requested than it got"
 
 
-def test_a_worker_that_is_bad_for_all_rests_and_is_tried_again_with_care():
+def test_a_worker_that_schedulers_judge_bad_is_ejected_and_then_on_probation():
     d = make_dispatcher()
     update_fleet(d, entry("w0"), entry("w1"), entry("w2"))
     d.handle(5.0, SharedState(bad_workers=frozenset({"w1", "unknown"})))
     assert d.ejected_workers(6.0) == {"w1"} and d.workers["w1"].probation
     d.handle(7.0, SharedState(bad_workers=frozenset({"w1"})))
-    assert d.workers["w1"].ejections == 1, "told again while it rests: no further strike"
+    assert d.workers["w1"].ejections == 1, "reported again during its ejection: not ejected twice"
     d.handle(8.0, SharedState(bad_workers=frozenset({"w0", "w1", "w2"})))
-    assert d.ejected_workers(9.0) == set(), "too many would be: none is"
+    assert d.ejected_workers(9.0) == set(), "none, since too many would be ejected"
 
 
 @pytest.mark.parametrize("outcome", [Outcome.MOOT, Outcome.RESET])
-def test_without_retries_left_only_what_was_never_sent_goes_on(outcome):
+def test_without_retries_left_only_an_attempt_that_was_never_sent_is_repeated(outcome):
     d = make_dispatcher()
     update_fleet(d, entry("w0"), entry("w1"), entry("w2"))
     d.handle(5.0, SharedState(retries_left=0.0))
