--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Small fleets and job streams shared by the tests."""
+"""Small fleets of workers, and shorthands for events and actions, shared by the tests."""
 
 from molespur import Dispatcher, Settings
 from molespur.interface import (
@@ -25,11 +25,11 @@
 
 
 def make_dispatcher(seed=1, **changes):
-    given = {
+    defaults = {
         "classes": CLASSES, "max_attempts": 4, "may_cancel": True, "tells_start": True, "progress_ms": 1000.0,
         "cold_start_share": 0.25, "cold_ms": 8000.0, "cold_multiple": 3.0, "cold_window_ms": 1000.0,
     }  # fmt: skip
-    dispatcher = Dispatcher(Settings(**(given | changes)), seed)
+    dispatcher = Dispatcher(Settings(**(defaults | changes)), seed)
     dispatcher.handle(0.0, Started())
     return dispatcher
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""What is harmless when one dispatcher does it, and harmful when forty do: counted over all of them."""
+"""Effects that only show when many dispatchers act at once, such as load on discovery or on one worker."""
 
 import pytest
 from helpers import actions_of, end_attempt, entry, make_dispatcher, submit, update_fleet
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("event", ["started", "lost", "away"])
-def test_a_fleet_that_asks_discovery_at_once_gets_all_its_watches(event):
+def test_all_dispatchers_that_call_discovery_at_once_get_their_watch(event):
     settings = make_dispatcher(subscribes=True, must_ask_in_ms=10000.0, balancers=MANY).settings
     fleet = [Dispatcher(settings, n) for n in range(MANY)]
     discovery = Discovery(each_ms=150.0, patience_ms=2000.0, most=20)
@@ -38,8 +38,8 @@
     assert len(discovery.asked) < 3 * MANY
 
 
-def test_a_very_large_fleet_asks_again_before_what_it_was_not_told_counts_as_told():
-    """Guards rule 3: without a watch, drains count as told some time after the last asking."""
+def test_a_very_large_fleet_calls_discovery_again_within_the_time_limit():
+    """Guards rule 3: without a watch, drains count as announced some time after the last call."""
     settings = make_dispatcher(subscribes=True, must_ask_in_ms=10000.0, balancers=150).settings
     fleet = [Dispatcher(settings, n) for n in range(150)]
     discovery = Discovery(each_ms=150.0, patience_ms=2000.0, most=20)
@@ -47,8 +47,8 @@
     assert len(discovery.first) == 150 and max(discovery.first.values()) < 9000.0
 
 
-def test_askings_slow_down_until_discovery_carries_them():
-    """Guards against a fleet too large for its first waits: each failure must make the askings rarer."""
+def test_calls_slow_down_until_discovery_can_answer_them():
+    """Guards against a fleet too large for its initial delays: each failure must make the calls rarer."""
     settings = make_dispatcher(subscribes=True, must_ask_in_ms=10000.0, balancers=150).settings
     fleet = [Dispatcher(settings, n) for n in range(150)]
     discovery = Discovery(each_ms=150.0, patience_ms=2000.0, most=20)
@@ -56,8 +56,8 @@
     assert len(discovery.watching) == 150
 
 
-def test_a_discovery_that_goes_down_is_not_asked_faster_than_before():
-    """A stand-in's own check, too: the watches break, every call fails, and all are back afterwards."""
+def test_a_failing_discovery_is_not_called_faster_than_before():
+    """All watches break and all calls fail for a time; afterwards all are open.  Checks the stand-in, too."""
     settings = make_dispatcher(subscribes=True, must_ask_in_ms=10000.0, balancers=MANY).settings
     fleet = [Dispatcher(settings, n) for n in range(MANY)]
     discovery = Discovery(each_ms=20.0, patience_ms=2000.0, most=MANY)
@@ -74,7 +74,7 @@
     assert MANY <= len(down) <= 3 * MANY and discovery.failed == MANY + len(down)
 
 
-def test_a_call_to_discovery_is_not_thrown_away_for_the_next():
+def test_a_call_to_discovery_is_not_replaced_by_the_next():
     d = make_dispatcher(subscribes=True, must_ask_in_ms=10000.0, balancers=MANY)
     d.handle(0.0, FleetUpdate(UpdateMode.ERROR))
     calls, now = [], 0.0
@@ -84,8 +84,8 @@
     assert len(calls) == 1
 
 
-def asked_first(left=5000.0, run=300.0, key=None, **changes):
-    """A dispatcher with ten workers, and whom it probes and sends to for a job that comes at 2 ms."""
+def submit_with_probes(left=5000.0, run=300.0, key=None, **changes):
+    """A dispatcher with ten workers, and those that it probes and sends to for a job submitted at 2 ms."""
     d = make_dispatcher(**({"balancers": MANY, "may_probe": True} | changes))
     update_fleet(d, *(entry(f"w{n}") for n in range(10)))
     out = submit(d, 1, left=left, work_hint_ms=run, key=key)
@@ -96,112 +96,112 @@
     )
 
 
-def say(d, now, worker, free):
-    """A worker says that it has slots free, or many jobs waiting; what is done then, up to the next tick."""
+def probe_reply(d, now, worker, free):
+    """A probe shows free slots, or many waiting jobs; the actions that follow up to the next tick."""
     report = {"free_slots": 4.0 * free, "queue": 40.0 * (not free)}
     out = d.handle(now, ProbeEnded(worker, Outcome.OK, 1.0, report))
     return out + d.handle(now + 1, TimerFired("due"))
 
 
 @pytest.mark.parametrize("free", range(6))
-def test_one_of_many_asks_a_few_workers_first_and_sends_to_the_one_that_is_free(free):
-    """Its probes in turn tell of each worker too seldom: without asking it sends blindly."""
-    d, asked, sent = asked_first()
-    assert len(set(asked)) == 6 and not sent
-    for w in d.live:  # by what others saw, all are crowded
+def test_one_of_many_dispatchers_probes_a_few_workers_first_and_sends_to_a_free_one(free):
+    """Guards against blind sends: the periodic probes of one of many reach each worker too seldom."""
+    d, probed, sent = submit_with_probes()
+    assert len(set(probed)) == 6 and not sent
+    for w in d.live:  # by earlier reports, all are overloaded
         w.other_slots, w.measured_at = 12.0, 2.0
-    for n, worker in enumerate(asked):
-        assert not actions_of(out := say(d, 3.0 + 2 * n, worker, n == free), Send) or n == 5
-    assert [send.worker for send in actions_of(out, Send)] == [asked[free]]
+    for n, worker in enumerate(probed):
+        assert not actions_of(out := probe_reply(d, 3.0 + 2 * n, worker, n == free), Send) or n == 5
+    assert [send.worker for send in actions_of(out, Send)] == [probed[free]]
 
 
-def test_a_job_goes_to_a_worker_that_has_said_something_rather_than_to_one_that_is_guessed_at():
-    """Guards against guesses that look as good as a worker's word: most workers are guessed at."""
+def test_a_job_goes_to_a_worker_that_replied_rather_than_to_one_of_unknown_load():
+    """Guards against guesses that look as good as replies: the load of most workers is guessed."""
     for seed in range(12):
-        d, asked, _ = asked_first(seed=seed)
-        for n, worker in enumerate(asked[:5]):
-            assert not actions_of(say(d, 3.0 + 2 * n, worker, True), Send)
-        failed = ProbeEnded(asked[5], Outcome.ERROR, 1.0)
+        d, probed, _ = submit_with_probes(seed=seed)
+        for n, worker in enumerate(probed[:5]):
+            assert not actions_of(probe_reply(d, 3.0 + 2 * n, worker, True), Send)
+        failed = ProbeEnded(probed[5], Outcome.ERROR, 1.0)
         out = d.handle(14.0, failed) + d.handle(15.0, TimerFired("due"))
-        assert [send.worker in asked[:5] for send in actions_of(out, Send)] == [True]
+        assert [send.worker in probed[:5] for send in actions_of(out, Send)] == [True]
 
 
-def test_where_all_that_said_something_are_crowded_others_are_looked_at():
-    d, asked, _ = asked_first()
-    out = [one for n, worker in enumerate(asked) for one in say(d, 3.0 + 2 * n, worker, False)]
-    assert [send.worker in asked for send in actions_of(out, Send)] == [False]
+def test_other_workers_are_considered_if_all_that_replied_are_overloaded():
+    d, probed, _ = submit_with_probes()
+    out = [one for n, worker in enumerate(probed) for one in probe_reply(d, 3.0 + 2 * n, worker, False)]
+    assert [send.worker in probed for send in actions_of(out, Send)] == [False]
 
 
-def test_a_worker_that_drains_after_it_has_said_something_gets_nothing():
+def test_a_worker_that_drains_after_its_reply_gets_nothing():
     """Guards rule 3."""
-    d, asked, _ = asked_first()
-    for n, worker in enumerate(asked[:5]):
-        say(d, 3.0 + 2 * n, worker, n == 0)
-    d.handle(14.0, FleetUpdate(UpdateMode.PARTIAL, (entry(asked[0], life=Lifecycle.DRAINING),)))
-    out = say(d, 15.0, asked[5], False)
-    assert [send.worker not in asked for send in actions_of(out, Send)] == [True]
+    d, probed, _ = submit_with_probes()
+    for n, worker in enumerate(probed[:5]):
+        probe_reply(d, 3.0 + 2 * n, worker, n == 0)
+    d.handle(14.0, FleetUpdate(UpdateMode.PARTIAL, (entry(probed[0], life=Lifecycle.DRAINING),)))
+    out = probe_reply(d, 15.0, probed[5], False)
+    assert [send.worker not in probed for send in actions_of(out, Send)] == [True]
 
 
-def test_the_home_of_a_key_is_looked_at_beside_those_that_said_something():
-    """Guards against a key that is fetched anew by whoever has said that it is free."""
+def test_the_preferred_worker_of_a_key_is_considered_beside_those_that_replied():
+    """Guards against a key that is fetched again by each worker that is free."""
     found = []
     for seed in range(12):
-        d, asked, _ = asked_first(key=5, seed=seed)
+        d, probed, _ = submit_with_probes(key=5, seed=seed)
         d.key_jobs, d.key_total = {5: 0.1}, 100.0
-        (home,) = [w for w, match in d._preferred_workers(5).items() if match > 0.8]
-        for n, worker in enumerate(asked):
-            out = say(d, 3.0 + 2 * n, worker, True)
-        found += [actions_of(out, Send)[0].worker == home] * (home not in asked)
+        (preferred,) = [w for w, match in d._preferred_workers(5).items() if match > 0.8]
+        for n, worker in enumerate(probed):
+            out = probe_reply(d, 3.0 + 2 * n, worker, True)
+        found += [actions_of(out, Send)[0].worker == preferred] * (preferred not in probed)
     assert len(found) >= 3 and all(found)
 
 
-@pytest.mark.parametrize("second, rested", [(150.0, False), (220.0, True)], ids=["at once", "in a row"])
-def test_two_probes_that_are_out_at_once_are_one_silence(second, rested):
-    """Guards against a worker that is held for mute, and its jobs called off, since two jobs asked it."""
-    d, _, _ = asked_first()
+@pytest.mark.parametrize("second, ejected", [(150.0, False), (220.0, True)], ids=["concurrent", "in a row"])
+def test_two_concurrent_probes_that_fail_count_once(second, ejected):
+    """Guards against a worker that counts as silent, and loses its jobs, since two jobs probed it."""
+    d, _, _ = submit_with_probes()
     for began in (10.0, second):
         d.handle(began + 200.0, ProbeEnded("w0", Outcome.TIMEOUT, 200.0))
-    assert d.workers["w0"].probation is rested
+    assert d.workers["w0"].probation is ejected
 
 
-def test_a_job_waits_for_workers_that_say_nothing_for_a_tenth_of_its_time_or_of_a_mean_run():
-    d, asked, sent = asked_first()
-    turn, now = d.mean_run, 2.0
+def test_a_job_waits_for_silent_workers_for_a_tenth_of_its_time_or_of_a_mean_run():
+    d, probed, sent = submit_with_probes()
+    mean_run, now = d.mean_run, 2.0
     while not sent:
         now += 4.0
         sent = actions_of(d.handle(now, TimerFired("due")), Send)
-    assert 0.1 * turn <= now - 2.0 <= 0.1 * turn + 8.0
-    assert len(asked) == 6
+    assert 0.1 * mean_run <= now - 2.0 <= 0.1 * mean_run + 8.0
+    assert len(probed) == 6
 
 
-def test_a_job_that_has_little_time_waits_little_for_what_workers_say():
-    """With 60 ms left, of which 40 are for its answer, it must not wait for a tenth of a mean run."""
-    d, asked, sent = asked_first(left=60.0)
-    assert len(asked) == 6 and not sent
+def test_a_job_that_has_little_time_waits_only_briefly_for_replies():
+    """With 60 ms left, of which 40 are for its response, it must not wait for a tenth of a mean run."""
+    d, probed, sent = submit_with_probes(left=60.0)
+    assert len(probed) == 6 and not sent
     assert actions_of(d.handle(9.0, TimerFired("due")), Send)
 
 
 @pytest.mark.parametrize(
     "changes",
     [{"balancers": 8}, {"may_probe": False}, {"run": 100.0}],
-    ids=["a few dispatchers", "no probes allowed", "a job with less time than reports are old"],
+    ids=["a few dispatchers", "no probes allowed", "a job with less time than the age of reports"],
 )
-def test_where_asking_tells_nothing_a_job_is_sent_at_once(changes):
-    _, asked, sent = asked_first(**changes)
-    assert not asked and len(sent) == 1
+def test_a_job_is_sent_at_once_where_probes_would_not_help(changes):
+    _, probed, sent = submit_with_probes(**changes)
+    assert not probed and len(sent) == 1
 
 
-def test_nothing_is_sent_for_a_client_that_left_while_workers_were_asked():
-    d, asked, _ = asked_first()
+def test_nothing_is_sent_for_a_client_that_disconnected_during_the_probes():
+    d, probed, _ = submit_with_probes()
     assert not actions_of(d.handle(3.0, ClientGone(1)), Send)
-    for n, worker in enumerate(asked):
-        assert not actions_of(say(d, 4.0 + 2 * n, worker, True), Send)
+    for n, worker in enumerate(probed):
+        assert not actions_of(probe_reply(d, 4.0 + 2 * n, worker, True), Send)
     assert not d.jobs
 
 
-def test_a_job_whose_askings_are_cut_short_by_its_deadline_is_still_answered():
-    """Guards rule 1: also where no worker says anything and none can be sent to."""
-    d, _, _ = asked_first()
+def test_a_job_whose_probes_take_until_its_deadline_is_still_answered():
+    """Guards rule 1, also where no worker replies and none can be sent to."""
+    d, _, _ = submit_with_probes()
     for w in d.live:
         w.full_until = 1e9
     now, answers = 2.0, []
@@ -211,8 +211,8 @@
     assert answers and now <= 5002.0
 
 
-def test_own_jobs_that_are_overdue_tell_of_a_queue_that_no_report_shows():
-    """A full worker reports no free slots, whether none or a hundred wait."""
+def test_own_overdue_jobs_indicate_a_queue_that_no_report_shows():
+    """A full worker reports no free slots, whether no job or a hundred wait there."""
     d = make_dispatcher(seed=3, balancers=MANY)
     update_fleet(d, entry("long"), entry("short"))
     for name in ("long", "short"):
@@ -236,8 +236,8 @@
     assert d._expected_wait(d.workers[first], 1)[0] < 400  # until both are seen free
 
 
-def test_few_dispatchers_take_an_overdue_job_for_a_wait_only_after_long_silence():
-    """Two see all that waits in own jobs and reports: one hint's error is no queue, a worker cut off is."""
+def test_in_a_small_fleet_an_overdue_job_indicates_a_wait_only_after_long_silence():
+    """Two dispatchers see all queues in own jobs and reports.  An overdue job may only have a bad hint."""
     d = make_dispatcher(seed=3, balancers=2, progress_ms=1000.0)
     update_fleet(d, entry("w"))
     w = d.workers["w"]
@@ -251,9 +251,9 @@
     assert w.lateness == 0.0
 
 
-def test_own_jobs_beyond_the_mean_stand_for_those_of_like_dispatchers():
-    """Guards against a whole fleet piling up at one worker that each sends a few jobs to."""
-    more = {}
+def test_own_jobs_above_the_mean_stand_for_those_of_other_dispatchers():
+    """Guards against an overload of one worker to which each of many dispatchers sends a few jobs."""
+    increase = {}
     for balancers in (2, MANY):
         d = make_dispatcher(balancers=balancers)
         update_fleet(d, *(entry(f"w{n}") for n in range(10)))
@@ -261,13 +261,13 @@
             w.learn_slots(8)
         before = d._expected_wait(d.live[0], 1)[1]
         d.live[0].own_slots += 2.0
-        more[balancers] = d._expected_wait(d.live[0], 1)[1] - before
-    assert more[MANY] > 8.0
-    assert more[2] == 2.0  # two see each other's jobs in every report: to count them twice is a loss there
+        increase[balancers] = d._expected_wait(d.live[0], 1)[1] - before
+    assert increase[MANY] > 8.0
+    assert increase[2] == 2.0  # two see each other's jobs in every report, and must not count them twice
 
 
-def test_a_key_goes_to_its_home_also_where_the_home_is_none_of_the_own_subset():
-    """Guards against a key that is fetched by as many workers as there are dispatchers with other subsets."""
+def test_a_key_goes_to_its_preferred_worker_outside_the_own_subset_too():
+    """Guards against a key that is fetched by a different worker for each dispatcher."""
     chosen = set()
     for seed in range(12):
         d = make_dispatcher(seed=seed, balancers=MANY)
@@ -277,8 +277,8 @@
     assert len(chosen) <= 3
 
 
-def test_a_fleet_uses_what_a_cold_worker_can_do_at_least_but_stays_far_from_the_rule():
-    """Each dispatcher's share is below one job here; all together neither starve it nor push it over."""
+def test_all_dispatchers_use_a_cold_workers_guaranteed_capacity_but_stay_far_below_the_limit():
+    """Each dispatcher's share is below one job here; together they neither starve nor overload the worker."""
     window, work = 3000.0, 300.0
     fleet = [
         make_dispatcher(seed=n, balancers=MANY, cold_ms=20000.0, cold_window_ms=window) for n in range(MANY)
@@ -304,8 +304,8 @@
 
 
 @pytest.mark.parametrize(("many", "since", "sent"), [(1, 4000.0, 1), (3, 4000.0, 1), (3, 1150.0, 0)])
-def test_jobs_that_hang_are_no_crowd_but_jobs_that_wait_are_one(many, since, sent):
-    """Guards against a scheduler that refuses all for as long as its one job hangs, and so has no other."""
+def test_jobs_that_wait_indicate_a_burst_but_jobs_that_hang_do_not(many, since, sent):
+    """Guards against a dispatcher that refuses all jobs for as long as its only running job hangs."""
     d, now = make_dispatcher(seed=3, balancers=MANY), 5000.0
     update_fleet(d, *(entry(f"w{n}") for n in range(12)))
     for w in d.workers.values():
