--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules, for each effect class and each outcome."""
+"""The four rules (see molespur/interface.py), for each effect and each outcome."""
 
 from dataclasses import replace
 
@@ -31,12 +31,12 @@
 )
 
 
-def at(name):
+def listed(name):
     return next(w for w in FLEET if w.worker == name)
 
 
-def drive(dispatcher, actions, request, now, until):
-    """Follow timers until the request is acted on again or time is up."""
+def run_timers(dispatcher, actions, request, now, until):
+    """Fire timers until there is an action for a request, or until a time."""
     while not actions_of(actions, (Send, Refuse, Fail)) and now < until:
         now += 20
         actions = dispatcher.handle(now, TimerFired("due"))
@@ -44,11 +44,11 @@
 
 
 @pytest.mark.parametrize("outcome", FAILURES)
-def test_unsafe_goes_again_only_on_proof(outcome):
+def test_an_unsafe_job_is_repeated_only_if_it_never_ran(outcome):
     d = make_dispatcher()
     update_fleet(d, *FLEET)
     assert actions_of(submit(d, 7, "unsafe"), Send)
-    actions, _ = drive(d, end_attempt(d, 7, outcome, 60), 7, 60, 6000)
+    actions, _ = run_timers(d, end_attempt(d, 7, outcome, 60), 7, 60, 6000)
     if outcome in NEVER_RAN:
         assert actions_of(actions, (Send, Refuse)) and not actions_of(actions, Fail)
     else:
@@ -56,42 +56,44 @@
 
 
 @pytest.mark.parametrize("outcome", FAILURES)
-def test_safe_is_tried_again(outcome):
+def test_a_safe_job_is_retried(outcome):
     d = make_dispatcher()
     update_fleet(d, *FLEET)
     submit(d, 7)
-    actions, _ = drive(d, end_attempt(d, 7, outcome, 60), 7, 60, 6000)
+    actions, _ = run_timers(d, end_attempt(d, 7, outcome, 60), 7, 60, 6000)
     assert len(actions_of(actions, Send)) == 1
 
 
 @pytest.mark.parametrize("group", list(Group))
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.CANCELLED])
-def test_keyed_stays_in_its_group(group, outcome):
+def test_repeats_of_a_keyed_job_stay_in_its_group(group, outcome):
     for seed in range(8):
         d = make_dispatcher(seed)
         update_fleet(d, *FLEET)
-        home = at(actions_of(submit(d, 7, KEYED[group].name), Send)[0].worker)
-        actions, _ = drive(d, end_attempt(d, 7, outcome, 60), 7, 60, 6000)
+        first = listed(actions_of(submit(d, 7, KEYED[group].name), Send)[0].worker)
+        actions, _ = run_timers(d, end_attempt(d, 7, outcome, 60), 7, 60, 6000)
         for send in actions_of(actions, Send):
-            there = at(send.worker)
-            assert group is not Group.ZONE or there.zone == home.zone
-            assert group is not Group.CELL or there.cell == home.cell
+            there = listed(send.worker)
+            assert group is not Group.ZONE or there.zone == first.zone
+            assert group is not Group.CELL or there.cell == first.cell
         if group is not Group.ALL:
             assert not actions_of(actions, Refuse)
 
 
 @pytest.mark.parametrize("group", list(Group))
-def test_keyed_window_runs_from_the_first_send(group):
-    d = make_dispatcher(classes=(replace(KEYED[group], aim_ms=4500),))  # so that it would still be in time
+def test_the_repeat_window_of_a_keyed_job_starts_with_the_first_send(group):
+    d = make_dispatcher(
+        classes=(replace(KEYED[group], aim_ms=4500),)
+    )  # so that a repeat would still be in time
     update_fleet(d, *FLEET)
     submit(d, 7, KEYED[group].name, work_hint_ms=100.0)
-    actions, _ = drive(d, end_attempt(d, 7, Outcome.ERROR, 2500), 7, 2500, 6000)
+    actions, _ = run_timers(d, end_attempt(d, 7, Outcome.ERROR, 2500), 7, 2500, 6000)
     assert not actions_of(actions, Send)
     assert actions_of(actions, Refuse if group is Group.ALL else Fail)
 
 
 @pytest.mark.parametrize("life", [Lifecycle.DRAINING, Lifecycle.GONE])
-def test_nothing_new_to_a_draining_worker(life):
+def test_a_draining_worker_gets_no_new_job(life):
     d = make_dispatcher()
     update_fleet(d, entry("w1"), entry("w2"))
     update_fleet(d, entry("w1", life=life), now=5.0, mode=UpdateMode.PARTIAL)
@@ -99,34 +101,34 @@
         assert {a.worker for a in actions_of(submit(d, n, now=10.0 + n), Send)} <= {"w2"}
 
 
-def test_complete_list_drops_what_it_does_not_name():
+def test_a_complete_list_drops_workers_that_it_lacks():
     d = make_dispatcher()
     update_fleet(d, entry("w1"), entry("w2"))
     update_fleet(d, entry("w2"), now=5.0)
     assert {a.worker for n in range(9) for a in actions_of(submit(d, n, now=10.0 + n), Send)} == {"w2"}
 
 
-def test_held_job_is_answered_before_its_client_gives_up():
+def test_a_held_job_is_answered_before_its_client_gives_up():
     d = make_dispatcher()
     assert not actions_of(submit(d, 7, left=1000.0), (Send, Refuse, Fail))  # empty fleet
-    actions, now = drive(d, [], 7, 2, 3000)
+    actions, now = run_timers(d, [], 7, 2, 3000)
     assert actions_of(actions, Refuse) and now < 1002
 
 
-def test_no_time_left_is_refused_at_once():
+def test_a_job_without_time_left_is_refused_at_once():
     d = make_dispatcher()
     update_fleet(d, *FLEET)
     assert actions_of(submit(d, 7, left=0.0), Refuse)
 
 
-def test_timed_out_at_the_deadline_gets_its_final_answer():
+def test_a_job_that_times_out_at_its_deadline_gets_its_final_response():
     d = make_dispatcher()
     update_fleet(d, *FLEET)
     submit(d, 7, "unsafe")
     assert actions_of(end_attempt(d, 7, Outcome.TIMEOUT, 5002, elapsed=5000.0), Fail)
 
 
-def test_client_gone_forgets_the_request_and_late_outcomes_are_harmless():
+def test_a_request_is_forgotten_when_its_client_disconnects_and_late_outcomes_do_no_harm():
     d = make_dispatcher()
     update_fleet(d, *FLEET)
     submit(d, 7)
@@ -136,7 +138,7 @@
     assert not d.jobs
 
 
-def test_begun_stream_belongs_to_its_client():
+def test_a_stream_that_has_begun_gets_no_other_final_response():
     d = make_dispatcher()
     update_fleet(d, *FLEET)
     submit(d, 7)
@@ -148,18 +150,18 @@
     assert not d.jobs
 
 
-def test_cold_worker_gets_no_more_than_its_share():
+def test_a_cold_worker_gets_no_more_than_its_budget():
     d = make_dispatcher(balancers=2)
     update_fleet(d, entry("new", born=100.0), now=100.0)
     sent = 0
     for n in range(60):
         now = 110.0 + n * 10
         sent += len(actions_of(submit(d, n, "unsafe", now=now, work_hint_ms=100.0), Send))
-    # a quarter of four slots, one second, half of it ours, three times over: 1500 ms of work at the most
+    # 1/4 of four slots for one second, times 3, of which half is for this dispatcher: 1500 ms of work at most
     assert 1 <= sent <= 15
 
 
-def test_restart_under_the_same_id_is_cold_again():
+def test_a_worker_that_restarts_under_its_id_is_cold_again():
     d = make_dispatcher()
     update_fleet(d, entry("w"))
     d.workers["w"].ejections = 3
@@ -168,8 +170,8 @@
     assert d.workers["w"].ejections == 0 and d._warmth(d.workers["w"]) == pytest.approx(0.25)
 
 
-def test_many_dispatchers_with_jobs_of_all_sizes_do_not_push_a_cold_worker_over():
-    """Guards rule 4 at size: a large job that waits for its turn must not let a small one through early."""
+def test_many_dispatchers_with_jobs_of_all_sizes_do_not_overload_a_cold_worker():
+    """Guards rule 4 in a large fleet: a large job that waits must not let a small one through early."""
     sent, balancers = 0.0, 150
     for seed in range(balancers):
         d = make_dispatcher(seed, balancers=balancers, cold_ms=8000.0, cold_window_ms=2000.0)
