--- a/tests/operations/test_figures.py
+++ b/tests/operations/test_figures.py
@@ -49,13 +49,13 @@
                 await peer.stream.aclose()
                 return
             if mood < 0.2:
-                await self.say(peer, 500, b"")
+                await self.respond(peer, 500, b"")
             elif mood < 0.3:
-                await self.say(peer, 503, b"", [("X-Not-Processed", "1")])
+                await self.respond(peer, 503, b"", [("X-Not-Processed", "1")])
             elif mood < 0.33:
                 await trio.sleep_forever()
             else:
-                await self.say(peer, 200, b'{"id":"%b","state":"done","result":"x"}\n' % name.encode())
+                await self.respond(peer, 200, b'{"id":"%b","state":"done","result":"x"}\n' % name.encode())
             if peer.http.our_state is not h11.DONE or peer.http.their_state is not h11.DONE:
                 return
             peer.http.start_next_cycle()
@@ -82,7 +82,7 @@
         await peer.stream.send_all(data[cut:])
         self.open += 1
         with trio.move_on_after(patience_ms / 1000) as patience:
-            answer, _ = await peer.whole()
+            answer, _ = await peer.read_message()
         self.open -= 1
         if patience.cancelled_caught:
             self.left[job_class] += 1
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -97,7 +97,7 @@
             self.http.receive_data(data)
         return event
 
-    async def whole(self):
+    async def read_message(self):
         """The next whole message: its head and its body."""
         head, body = await self.event(), b""
         while type(event := await self.event()) is h11.Data:
@@ -175,7 +175,7 @@
             name = headers.get(b"x-request-id", head.target).decode()
             self.requests[f"w{address[1] - 3000}", name] = peer
             if name.startswith("/"):
-                await self.say(peer, 200, b"cpu_share=0.5,x0=3")
+                await self.respond(peer, 200, b"cpu_share=0.5,x0=3")
             while peer.http.our_state is not h11.DONE:
                 if peer.ended or peer.http.our_state is h11.ERROR:
                     return
@@ -185,7 +185,7 @@
                         peer.ended = not await peer.stream.receive_some(1)
             peer.http.start_next_cycle()
 
-    async def say(self, peer, status, body, headers=()):
+    async def respond(self, peer, status, body, headers=()):
         http = peer.http
         headers = [*headers, ("Content-Length", str(len(body)))]
         head = http.send(h11.Response(status_code=status, headers=headers))
@@ -221,7 +221,7 @@
         elif words == ["closed"]:
             assert await peer.stream.receive_some(1) == b""
         else:
-            head, body = await peer.whole()
+            head, body = await peer.read_message()
             text = f"{head.status_code} {body.decode()} {head.headers!r}"
             assert head.status_code == int(words[0]) and all(word in text for word in words), text
             if peer.http.our_state is h11.DONE and peer.http.their_state is h11.DONE:
@@ -247,7 +247,7 @@
         elif verb == "send" and words[1].isdecimal():
             headers = [tuple(pair.split("=", 1)) for pair in words[2:]]
             del self.requests[key]
-            await self.say(peer, int(words[1]), b"", headers)
+            await self.respond(peer, int(words[1]), b"", headers)
         elif verb == "send":
             request_id, state, *rest = words
             line = {"id": request_id, "from": name, "state": state}
@@ -307,7 +307,7 @@
             peer = Peer(theirs, h11.CLIENT)
             asked = h11.Request(method="GET", target="/up", headers=[("Host", "x")])
             await peer.stream.send_all(peer.http.send(asked) + peer.http.send(h11.EndOfMessage()))
-            head, _ = await peer.whole()
+            head, _ = await peer.read_message()
             await peer.stream.aclose()
             assert head.status_code == {"yes": 200, "no": 503}[words[0]], head
             return
