--- a/tests/operations/test_processes.py
+++ b/tests/operations/test_processes.py
@@ -7,7 +7,7 @@
 import time
 
 import pytest
-from processes import Crowd, Site, call, pair, until
+from processes import ClientLoad, Site, call_ops, split_address, wait_until
 from scenario import SETTINGS
 
 
@@ -20,27 +20,27 @@
 
 def post(site, job_class, name):
     """The status of one job."""
-    with socket.create_connection(pair(site.listen), 5) as sock:
+    with socket.create_connection(split_address(site.listen), 5) as sock:
         head = f"POST /{job_class} HTTP/1.1\r\nHost: x\r\nX-Request-ID: {name}\r\nIdempotency-Key: {name}\r\n"
         sock.sendall(f"{head}Content-Length: 2\r\n\r\nhi".encode())
         return int(sock.recv(65536).split()[1])
 
 
 def figure(program, name):
-    lines = call(program.ops, "telemetry").splitlines()
+    lines = call_ops(program.ops, "telemetry").splitlines()
     assert lines[-1] == "eof"
     return dict(line.removeprefix("app.").split("=") for line in lines[:-1])[name]
 
 
 def test_a_drain_among_clients_loses_no_job_and_holds_no_connection(site):
     program = site.start()
-    idle = socket.create_connection(pair(site.listen), 5)
-    used = socket.create_connection(pair(site.listen), 5)
+    idle = socket.create_connection(split_address(site.listen), 5)
+    used = socket.create_connection(split_address(site.listen), 5)
     used.sendall(b"POST /lookup HTTP/1.1\r\nHost: x\r\nX-Request-ID: u\r\nContent-Length: 2\r\n\r\nhi")
     assert b"200" in used.recv(65536)
-    crowd = Crowd(site)
+    crowd = ClientLoad(site)
     time.sleep(0.3)
-    assert call(program.ops, "evacuate") == "ok\n" and not site.up()
+    assert call_ops(program.ops, "evacuate") == "ok\n" and not site.up()
     time.sleep(0.6)
     for sock in (idle, used):
         sock.settimeout(4)
@@ -51,9 +51,9 @@
     assert idle.recv(100) == b""
     assert figure(program, "in_progress") == "0" and not site.up()
     assert figure(program, "passed.lookup") == str(served + 1)
-    assert call(program.ops, "activate") == "ok\n" and site.up()
-    assert call(program.ops, "readyz") == "ok\n"
-    call(program.ops, "evacuate")
+    assert call_ops(program.ops, "activate") == "ok\n" and site.up()
+    assert call_ops(program.ops, "readyz") == "ok\n"
+    call_ops(program.ops, "evacuate")
     program.send_signal(signal.SIGTERM)
     start = time.monotonic()
     assert program.wait(10) == 0 and time.monotonic() - start < 2.4
@@ -72,7 +72,7 @@
         with open(path, "w") as file:
             file.write(broken)
         program.send_signal(signal.SIGHUP)
-        until(lambda number=number: figure(program, "load_errors") == str(number))
+        wait_until(lambda number=number: figure(program, "load_errors") == str(number))
     assert figure(program, "loads") == "0" and post(site, "lookup", "c") == 200
     assert post(site, "fresh", "d") == 404
     given["settings"]["profiles"] = [
@@ -81,7 +81,7 @@
     with open(path, "w") as file:
         json.dump(given, file)
     program.send_signal(signal.SIGHUP)
-    until(lambda: figure(program, "loads") == "1")
+    wait_until(lambda: figure(program, "loads") == "1")
     # until clients follow both are served, then only the new one
     assert post(site, "fresh", "e") == post(site, "lookup", "f") == 200
     time.sleep(1.6)
@@ -91,13 +91,13 @@
 
 def test_calls_are_answered_while_the_loop_is_busy_and_callers_stay_silent(site):
     program = site.start()
-    silent = [socket.create_connection(pair(program.ops), 5) for _ in range(40)]
-    crowd, took = Crowd(site, 24), []
+    silent = [socket.create_connection(split_address(program.ops), 5) for _ in range(40)]
+    crowd, took = ClientLoad(site, 24), []
 
     def ask():
         for _ in range(20):
             start = time.monotonic()
-            assert call(program.ops, "telemetry").endswith("eof\n")
+            assert call_ops(program.ops, "telemetry").endswith("eof\n")
             took.append(time.monotonic() - start)
 
     askers = [threading.Thread(target=ask) for _ in range(3)]
@@ -115,12 +115,12 @@
 def test_signals_amid_a_stop_change_nothing(site):
     """SIGHUP, a second SIGTERM and calls while stopping: it ends in order, and on time."""
     program = site.start()
-    crowd = Crowd(site, 4)
+    crowd = ClientLoad(site, 4)
     program.send_signal(signal.SIGTERM)
-    until(lambda: not site.up())
+    wait_until(lambda: not site.up())
     for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGUSR1, signal.SIGHUP):
         program.send_signal(number)
-    assert call(program.ops, "evacuate") == call(program.ops, "activate") == "fail stopping\n"
-    assert call(program.ops, "readyz") == "fail stopping\n"
+    assert call_ops(program.ops, "evacuate") == call_ops(program.ops, "activate") == "fail stopping\n"
+    assert call_ops(program.ops, "readyz") == "fail stopping\n"
     crowd.stop()
     assert program.wait(10) == 0
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -16,18 +16,18 @@
 ROOT = Path(__file__).parent.parent
 
 
-def pair(address):
+def split_address(address):
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
-def call(ops, line):
-    with socket.create_connection(pair(ops), 5) as sock:
+def call_ops(ops, line):
+    with socket.create_connection(split_address(ops), 5) as sock:
         sock.sendall(line.encode() + b"\n")
         return b"".join(iter(lambda: sock.recv(4096), b"")).decode()
 
 
-def until(condition, seconds=15):
+def wait_until(condition, seconds=15):
     """Wait for something to be so, bounded."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
@@ -92,11 +92,11 @@
         program.ops = ops
         self.programs.append(program)
         if ready:
-            until(lambda: call(ops, "readyz") == "ok\n")
+            wait_until(lambda: call_ops(ops, "readyz") == "ok\n")
         return program
 
     def up(self):
-        with socket.create_connection(pair(self.listen), 5) as sock:
+        with socket.create_connection(split_address(self.listen), 5) as sock:
             sock.sendall(b"GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
             return sock.recv(100).startswith(b"HTTP/1.1 200")
 
@@ -108,7 +108,7 @@
         self.worker.server.close()
 
 
-class Crowd:
+class ClientLoad:
     """Clients that hand in one job after another until told to stop, and count how they end."""
 
     def __init__(self, site, many=8):
@@ -126,7 +126,7 @@
             for attempt in range(2):
                 try:
                     kept = sock is not None
-                    sock = sock or socket.create_connection(pair(self.site.listen), 5)
+                    sock = sock or socket.create_connection(split_address(self.site.listen), 5)
                     sock.sendall(f"{head}Content-Length: 2\r\n\r\nhi".encode())
                     answer = sock.recv(65536)
                 except OSError as problem:
--- a/tests/replacement/test_replacement.py
+++ b/tests/replacement/test_replacement.py
@@ -16,7 +16,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from processes import ROOT, Crowd, Site, call, pair, until
+from processes import ROOT, ClientLoad, Site, call_ops, split_address, wait_until
 from scenario import target
 
 from molespur.replacement.files import Rendezvous
@@ -196,7 +196,7 @@
 def test_two_replacements_in_a_row_lose_nothing(site):
     """With real processes: every job is served, the address never says no, and each leaves in order."""
     first = site.start()
-    crowd, ups, asking = Crowd(site), [], threading.Event()
+    crowd, ups, asking = ClientLoad(site), [], threading.Event()
 
     def ask():
         while not asking.wait(0.1):
@@ -216,7 +216,7 @@
     served, lost = crowd.stop()
     assert served > 100 and not lost, lost[:5]
     assert ups and all(ups)
-    assert "passed.lookup=0\n" not in call(first.ops, "telemetry")
+    assert "passed.lookup=0\n" not in call_ops(first.ops, "telemetry")
     first.send_signal(signal.SIGTERM)
     assert first.wait(10) == 0
     assert not list(site.tmp.iterdir())
@@ -231,14 +231,14 @@
     first = site.start()
     assert len(list(site.tmp.glob("*.lock"))) == 1
     second = site.start(ready=False)
-    until(lambda: len(list(site.tmp.glob("*.lock"))) == 2 or second.poll() is not None)
+    wait_until(lambda: len(list(site.tmp.glob("*.lock"))) == 2 or second.poll() is not None)
     second.kill()
     second.wait(10)
-    crowd = Crowd(site, 4)
+    crowd = ClientLoad(site, 4)
     time.sleep(0.5)
     served, lost = crowd.stop()
     assert served and not lost, lost[:5]
-    assert site.up() and call(first.ops, "readyz") == "ok\n"
+    assert site.up() and call_ops(first.ops, "readyz") == "ok\n"
 
 
 def test_a_successor_that_dies_leaves_the_first_serving(site):
@@ -249,13 +249,13 @@
     assert site.up()
     second.kill()
     second.wait(10)
-    until(site.up)
+    wait_until(site.up)
     time.sleep(0.3)
-    crowd = Crowd(site, 4)
+    crowd = ClientLoad(site, 4)
     time.sleep(0.5)
     served, lost = crowd.stop()
     assert served and not lost, lost[:5]
-    assert call(first.ops, "readyz") == "ok\n"
+    assert call_ops(first.ops, "readyz") == "ok\n"
     first.send_signal(signal.SIGTERM)
     assert first.wait(10) == 0
 
@@ -265,14 +265,14 @@
     first = site.start()
     second = site.start(ready=False)
     first.send_signal(signal.SIGTERM)
-    until(lambda: call(second.ops, "readyz") == "ok\n")
+    wait_until(lambda: call_ops(second.ops, "readyz") == "ok\n")
     assert first.wait(10) == 0
-    until(site.up, 5)
+    wait_until(site.up, 5)
     assert second.poll() is None
 
 
 def test_a_foreign_process_on_the_address_is_one_line_and_exit_2(site, tmp_path):
-    with socket.create_server(pair(site.listen)):
+    with socket.create_server(split_address(site.listen)):
         program = site.start(ready=False)
         assert program.wait(30) == 2
     site.log.flush()
@@ -283,6 +283,6 @@
 def test_an_operators_address_that_cannot_be_bound_is_one_line_and_exit_2(site, tmp_path):
     site.env["LB_OPS"] = site.listen
     run = [sys.executable, "-m", "molespur"]
-    with socket.create_server(pair(site.listen)):
+    with socket.create_server(split_address(site.listen)):
         done = subprocess.run(run, cwd=ROOT, env=site.env, capture_output=True, text=True, timeout=60)
     assert done.returncode == 2 and done.stderr.count("molespur:") == 1 and "LB_OPS" in done.stderr
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -11,7 +11,7 @@
 
 import pytest
 import trio
-from processes import ROOT, Site, pair, until
+from processes import ROOT, Site, split_address, wait_until
 from sockets import done, on_loopback, request, settle
 from trio.testing import MockClock
 
@@ -43,21 +43,21 @@
         [sys.executable, "-m", "molespur"], cwd=ROOT, env=site.env, stderr=site.log, preexec_fn=limit
     )
     site.programs.append(program)
-    until(site.up)
+    wait_until(site.up)
     with contextlib.ExitStack() as idle:
         for _ in range(3 * LIMIT):
-            idle.enter_context(socket.create_connection(pair(site.listen), 5))
-        until(lambda: descriptors(program) >= LIMIT // 3)
-        with socket.create_server(pair(discovery)) as listener:
+            idle.enter_context(socket.create_connection(split_address(site.listen), 5))
+        wait_until(lambda: descriptors(program) >= LIMIT // 3)
+        with socket.create_server(split_address(discovery)) as listener:
             listener.settimeout(5)
             call, _ = listener.accept()
             with call:
                 assert b"watch=1" in call.recv(65536)
                 # an answer that ends: the next call is out while idle clients go on coming
                 for _ in range(LIMIT):
-                    idle.enter_context(socket.create_connection(pair(site.listen), 5))
+                    idle.enter_context(socket.create_connection(split_address(site.listen), 5))
             call, _ = listener.accept()
-            with call, socket.create_connection(pair(site.listen), 5) as client:
+            with call, socket.create_connection(split_address(site.listen), 5) as client:
                 assert b"watch=1" in call.recv(65536)
                 client.sendall(request("r1"))
                 assert client.recv(65536).startswith(b"HTTP/1.1 200 ")
--- a/tests/test_endings_process.py
+++ b/tests/test_endings_process.py
@@ -5,7 +5,7 @@
 import socket
 
 import pytest
-from processes import Site, pair, until
+from processes import Site, split_address, wait_until
 
 
 @pytest.fixture
@@ -23,7 +23,7 @@
 
 
 def connect(site):
-    return socket.create_connection(pair(site.listen), 5)
+    return socket.create_connection(split_address(site.listen), 5)
 
 
 def answer(sock):
@@ -84,7 +84,7 @@
     first.kill()
     first.wait(10)
     site.start()
-    until(site.up)
+    wait_until(site.up)
     with pytest.raises(OSError):
         sock.sendall(job("r1")[20:])
         if not sock.recv(100):
