--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The adapter over a real process."""
+"""The simulator's wire protocol, spoken with a real process."""
 
 import json
 import os
@@ -19,7 +19,7 @@
 SUBMIT = ["SUBMIT", 0, 77, None, None, 1, None, 4000.0, None, 0, "c"]
 
 
-def talk(*events, hash_seed="0"):
+def run_batch(*events, hash_seed="0"):
     lines = [["BATCH", 10.0], ["COMMIT"], ["BATCH", 20.5], *events, ["COMMIT"]]
     text = "".join((e if isinstance(e, str) else json.dumps(e)) + "\n" for e in lines)
     env = dict(os.environ, PYTHONHASHSEED=hash_seed)
@@ -32,27 +32,27 @@
 
 
 def test_a_job_is_sent_to_the_listed_worker():
-    done = talk(SPAWN, LIST, SUBMIT)
+    done = run_batch(SPAWN, LIST, SUBMIT)
     assert done.returncode == 0 and not done.stderr
-    said = replies(done)
-    assert said[0] == ["OK"] and said[-1] == ["OK"]
-    assert ["SEND", 0, 77, "w", 0.0] in said
+    received = replies(done)
+    assert received[0] == ["OK"] and received[-1] == ["OK"]
+    assert ["SEND", 0, 77, "w", 0.0] in received
 
 
 def test_actions_do_not_depend_on_the_hash_seed():
     events = [SPAWN, LIST, *([*SUBMIT[:2], n, *SUBMIT[3:]] for n in range(40))]
-    assert talk(*events, hash_seed="1").stdout == talk(*events, hash_seed="2").stdout
+    assert run_batch(*events, hash_seed="1").stdout == run_batch(*events, hash_seed="2").stdout
 
 
-def test_unknown_ids_and_odd_events_are_passed_over():
-    odd = [
+def test_unknown_ids_and_unexpected_events_are_ignored():
+    unexpected = [
         ["TIMED_OUT_CLIENT", 0, 123456],
         ["CLOSED_ATTEMPT", 0, 5, 0, 1.0, None, 253, "w", None, None],
         ["HEARTBEAT", 0, 5, "w", 9, None, 0],
         ["BACKENDS_CHANGED", 0, 2, "Complete", []],
         ["EXIT", 0],
     ]
-    done = talk(SPAWN, LIST, *odd)
+    done = run_batch(SPAWN, LIST, *unexpected)
     assert done.returncode == 0 and not any(r[0] == "EXCEPTION" for r in replies(done))
 
 
@@ -69,8 +69,8 @@
         ("{nonsense", ["line", "JSON"]),
     ],
 )
-def test_malformed_input_gets_one_plain_message(event, names):
-    done = talk(SPAWN, LIST, event)
+def test_malformed_input_gets_one_message_that_names_the_fault(event, names):
+    done = run_batch(SPAWN, LIST, event)
     faults = [r[2] for r in replies(done) if r[0] == "EXCEPTION"]
     if not faults:
         assert done.returncode != 0
