--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as it is started: configuration, signals, exit, and its timer wheel."""
+"""The program as a process: configuration, signals, exit; and its timer wheel and listeners."""
 
 import contextlib
 import json
@@ -32,11 +32,11 @@
 
 
 def changed(path, value):
-    """The good file with one key replaced."""
+    """The valid configuration with one key replaced."""
     text = json.loads(json.dumps(GOOD))
-    *way, last = path.split(".")
+    *parents, last = path.split(".")
     part = text
-    for key in way:
+    for key in parents:
         part = part[int(key) if key.isdecimal() else key]
     part[last] = value
     return text
@@ -64,21 +64,21 @@
         ({"name": "n"}, ["settings"]),
     ],
 )
-def test_bad_configuration_names_the_key_in_one_line(tmp_path, content, names):
+def test_an_invalid_configuration_names_the_key_in_one_line(tmp_path, content, names):
     with pytest.raises(config.ConfigError) as caught:
         load(tmp_path, content)
     text = str(caught.value)
     assert "\n" not in text and all(name in text for name in names), text
 
 
-def test_configuration_is_complete_and_variables_go_first(tmp_path):
+def test_the_configuration_has_defaults_and_variables_take_precedence(tmp_path):
     given = load(tmp_path, GOOD, LB_LISTEN="127.0.0.9:80", LB_NAME="m")
     assert (given.listen, given.name, given.seed) == (("127.0.0.9", 80), "m", 0x8C1F)
     assert given.dial_timeout_ms == 150.0 and given.known.rev == 4
     assert given.settings.classes[0].deadline_ms == 5000.0
 
 
-def test_no_configuration_exits_with_one_line():
+def test_a_missing_configuration_ends_the_program_with_one_line():
     run = [sys.executable, "-m", "molespur"]
     env = {k: v for k, v in os.environ.items() if not k.startswith("LB_")}
     done = subprocess.run(run, cwd=ROOT, env=env, capture_output=True, text=True, timeout=60)
@@ -93,7 +93,7 @@
 
 @contextlib.contextmanager
 def running(tmp_path, listen, **environ):
-    """The program, up, with a way to read its log up to a word."""
+    """A running program, its configuration file, and a function that reads its log up to a word."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps(GOOD | {"listen": listen, "discovery": free_address()}))
     env = (
@@ -101,13 +101,13 @@
     )
     run = [sys.executable, "-m", "molespur"]
     program = subprocess.Popen(run, cwd=ROOT, env=env, stderr=subprocess.PIPE, text=True)
-    # guards against a test that waits for good for a line that never comes
+    # guards against a test that waits forever for a line that never comes
     late = threading.Timer(120, program.kill)
     late.start()
 
     def read_to(word):
         while word not in (line := program.stderr.readline()):
-            assert line, "the program has ended"
+            assert line, "the program has ended before it logged the word"
         return line
 
     try:
@@ -127,8 +127,8 @@
         program.kill()
 
 
-def test_program_comes_up_tells_its_counters_leaves_and_binds_again(tmp_path):
-    """Discovery is down: the program serves with the list it has, and SIGTERM ends it with 0."""
+def test_the_program_starts_prints_its_counters_stops_and_binds_again(tmp_path):
+    """Discovery is down: the program serves with the list that it has, and exits with 0 after SIGTERM."""
     here = free_address()
     for _ in range(2):
         with running(tmp_path, here) as (program, _, read_to):
@@ -136,8 +136,8 @@
             assert '"in.connections":1' in read_to("counters n")
 
 
-def test_a_reload_goes_to_the_new_discovery_and_never_ends_the_program(tmp_path):
-    """Guards against a SIGHUP that kills, a file that can't be used, and a variable that masks the file."""
+def test_a_reload_connects_to_the_new_discovery_and_never_ends_the_program(tmp_path):
+    """Guards against a SIGHUP that kills, an invalid file, and a variable that hides the file's value."""
     with (
         socket.create_server(("127.0.0.1", 0)) as discovery,
         running(tmp_path, free_address(), LB_DISCOVERY=free_address()) as (program, path, read_to),
@@ -151,14 +151,14 @@
         program.send_signal(signal.SIGHUP)
         assert "listen" in read_to("reload.needs_restart")
         discovery.settimeout(60)
-        asked, _ = discovery.accept()
-        assert asked.recv(4096).startswith(b"GET /discovery/hosts?watch=1 ")
-        program.send_signal(signal.SIGTERM)  # amid the reload: it ends with 0 all the same
+        connection, _ = discovery.accept()
+        assert connection.recv(4096).startswith(b"GET /discovery/hosts?watch=1 ")
+        program.send_signal(signal.SIGTERM)  # during the reload: the exit code is 0 all the same
         program.send_signal(signal.SIGHUP)
-        asked.close()
+        connection.close()
 
 
-def test_timers_come_in_order_at_ticks_and_can_be_called_off():
+def test_timers_fire_in_order_at_ticks_and_can_be_cancelled():
     async def main():
         wheel, seen = Wheel(4.0), []
 
@@ -167,11 +167,11 @@
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(wheel.run)
-            wheel.after(9000.0, note, "a long one")  # more than a turn of the wheel
+            wheel.after(9000.0, note, "a long one")  # more than one revolution of the wheel
             wheel.after(50.0, note, "b")
             wheel.after(10.0, note, "a")
             wheel.after(20.0, note, "never").cancel()
-            wheel.after(30.0, lambda: 1 / 0)  # guards against one bad timer that stops the others
+            wheel.after(30.0, lambda: 1 / 0)  # guards against an exception in one timer that stops the others
             await trio.sleep(0.1)
             assert seen == [("a", True), ("b", True)]
             await trio.sleep(9)
@@ -183,14 +183,14 @@
 
 @pytest.mark.parametrize("cause", Cause)
 @pytest.mark.parametrize("stage", Stage)
-def test_only_proof_counts_as_never_ran(stage, cause):
+def test_only_proof_counts_as_an_attempt_that_never_ran(stage, cause):
     proof = stage < Stage.SENT or cause in (Cause.TURNED_AWAY, Cause.NOT_SENT)
     never = Failure(stage, cause).outcome in NEVER_RAN
     assert never == (proof and cause is not Cause.CANCELLED)
 
 
-def test_a_wake_up_at_a_tick_counts_as_that_tick():
-    """Guards against a wheel that spins: at some ticks the clock's reading rounds to just before them."""
+def test_a_wake_up_at_a_tick_fires_the_timers_of_that_tick():
+    """Guards against a busy loop: at some ticks the clock's reading rounds to just before them."""
 
     async def main():
         wheel, seen = Wheel(4.0), []
@@ -210,7 +210,7 @@
 
 
 @pytest.mark.parametrize("host", ["127.0.0.1", "::1"])
-def test_each_kind_of_address_is_listened_on(host):
+def test_the_program_listens_on_each_kind_of_address(host):
     async def main():
         try:
             listener = await open_listener((host, 0), "LB_LISTEN", shared=True)
