--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Idle clients fill the descriptors while discovery is down: watch, workers and answers get theirs."""
+"""Idle clients take many descriptors while discovery is down: the watch, workers and responses keep theirs."""
 
 import contextlib
 import errno
@@ -31,7 +31,7 @@
     return len(os.listdir(f"/proc/{program.pid}/fd"))
 
 
-def test_watch_workers_and_answers_keep_their_descriptors(site, tmp_path):
+def test_the_watch_workers_and_responses_keep_their_descriptors(site, tmp_path):
     file = tmp_path / "config.json"
     file.write_text(file.read_text().replace('"sockets": 384', f'"sockets": {LIMIT}'))
     discovery = file.read_text().partition('"discovery": "')[2].partition('"')[0]
@@ -53,7 +53,7 @@
             call, _ = listener.accept()
             with call:
                 assert b"watch=1" in call.recv(65536)
-                # an answer that ends: the next call is out while idle clients go on coming
+                # after the response ends, the next call is made while more idle clients connect
                 for _ in range(LIMIT):
                     idle.enter_context(socket.create_connection(split_address(site.listen), 5))
             call, _ = listener.accept()
@@ -83,12 +83,12 @@
     assert len(caplog.records) == 1
 
 
-def test_a_connection_that_was_reset_before_it_was_taken_costs_no_wait():
-    left = [OSError(errno.ECONNABORTED, "reset")] * 5
+def test_a_connection_that_was_reset_before_it_was_accepted_costs_no_wait():
+    errors = [OSError(errno.ECONNABORTED, "reset")] * 5
 
     async def accept():
-        if left:
-            raise left.pop()
+        if errors:
+            raise errors.pop()
         return "one"
 
     listener, clock = types.SimpleNamespace(accept=accept), MockClock(autojump_threshold=0)
@@ -112,16 +112,16 @@
                 return await client.read(f"made of {name}".encode())
 
 
-@pytest.mark.parametrize("asked", [False, True], ids=["said nothing", "asked once"])
-def test_a_crowd_of_idle_clients_does_not_keep_a_request_waiting(asked):
-    """Not for a moment: the clock stands still."""
+@pytest.mark.parametrize("used", [False, True], ids=["never used", "used once"])
+def test_many_idle_clients_do_not_keep_a_request_waiting(used):
+    """Not even for a millisecond: the test's clock stands still."""
 
     @on_loopback(sockets=80)
     async def play(site):
         idle, workers = [], []
         for i in range(60):
             idle.append(await site.client())
-            if asked:
+            if used:
                 await serve(site, idle[-1], f"i{i}", workers)
         a = await site.client()
         await serve(site, a, "r1", workers)
@@ -131,29 +131,29 @@
 
 
 @on_loopback
-async def test_time_in_the_listeners_queue_is_taken_off_what_a_worker_is_told(site):
-    """A crowd keeps the listener from taking more; what waits meanwhile has less left than it says."""
+async def test_time_in_the_listeners_queue_reduces_the_timeout_sent_to_a_worker(site):
+    """While a limit keeps the listener from accepting, the time left to a waiting request decreases."""
 
-    def told(head):
+    def timeout_ms(head):
         return int(head.lower().partition(b"x-timeout-ms:")[2].split()[0])
 
     downstream = site.scheduler.downstream
-    most, downstream.most = downstream.most, -100
+    limit, downstream.most = downstream.most, -100
     await site.client()
     a = await site.client()
     await a.send(request("r1"))
     await site.pass_ms(800)
-    downstream.most = most
+    downstream.most = limit
     downstream._room.set()
     worker = await site.workers[0].accept()
-    assert 4150 <= told(await worker.read(b"\r\n\r\n")) <= 4200
+    assert 4150 <= timeout_ms(await worker.read(b"\r\n\r\n")) <= 4200
     await worker.send(done("r1"))
     await a.read(b"made of r1")
-    # on the same connection, and on one that is taken at once, all of it is left
+    # on the same connection, and on one that is accepted at once, all the time is left
     await a.send(request("r2"))
-    assert told(await worker.read(b"\r\n\r\n")) > 4990
+    assert timeout_ms(await worker.read(b"\r\n\r\n")) > 4990
     await worker.send(done("r2"))
     await a.read(b"made of r2")
     b = await site.client()
     await b.send(request("r3"))
-    assert told(await worker.read(b"\r\n\r\n")) > 4990
+    assert timeout_ms(await worker.read(b"\r\n\r\n")) > 4990
