--- a/tests/test_packages.py
+++ b/tests/test_packages.py
@@ -1,6 +1,6 @@
-"""Every command of the deploy files comes from a system package that is listed there, or from the build.
+"""Every command of the deploy files comes from a system package that they list, or from the build.
 
-The operators' machines have Debian's essential packages and what `packages` names, and nothing else.
+The operators' machines have Debian's essential packages and those of `packages`, and nothing else.
 """
 
 import re
@@ -12,9 +12,9 @@
 
 ROOT = Path(__file__).parent.parent
 DEPLOY_FILES = ("deploy/system.toml", "deploy/balancer.toml")
-ESSENTIAL = {"[", "test", "cd", "exec", "rm", "true"}  # the shell's own, and coreutils
+ESSENTIAL = {"[", "test", "cd", "exec", "rm", "true"}  # shell builtins and coreutils
 PACKAGE_OF_COMMAND = {"python3": "python3"}
-PACKAGE_OF_MODULE = {"pip": "python3-pip", "venv": "python3-venv"}  # Debian keeps both apart from python3
+PACKAGE_OF_MODULE = {"pip": "python3-pip", "venv": "python3-venv"}  # Debian packages both apart from python3
 MODULES_OF_PYTHON = {"compileall"}
 MADE_BY_BUILD = {".venv/bin/python", ".venv/bin/pip"}  # `python3 -m venv` makes both
 WHEELS_ONLY = "--only-binary :all:"
@@ -25,7 +25,7 @@
 
 
 def command_lines(settings: dict) -> list[str]:
-    """All that a deploy file tells the operators' machines to run."""
+    """The shell lines of a deploy file."""
     lines = [settings[key] for key in ("build", "run", "sim") if key in settings]
     return lines + [role["run"] for role in settings.get("roles", {}).values()]
 
@@ -45,7 +45,7 @@
 
 
 def program_of(words: list[str]) -> list[str]:
-    """The words from the program on: `exec` only replaces the shell."""
+    """The words without a leading `exec`, which only replaces the shell."""
     return words[1:] if words[0] == "exec" else words
 
 
@@ -63,14 +63,14 @@
 
 
 @pytest.mark.parametrize("path", DEPLOY_FILES)
-def test_packages_are_just_what_the_lines_need(path):
+def test_the_listed_packages_are_exactly_those_that_the_lines_need(path):
     settings = deploy(path)
     needed = set().union(*map(needed_packages, command_lines(settings)))
     assert set(settings["packages"]) == needed
 
 
 @pytest.mark.parametrize("path", DEPLOY_FILES)
-def test_what_the_lines_take_from_a_venv_is_made_by_the_build(path):
+def test_the_build_makes_the_venv_that_the_lines_use(path):
     settings = deploy(path)
     used = {words[0] for line in command_lines(settings) for words in map(program_of, simple_commands(line))}
     if used & MADE_BY_BUILD:
@@ -92,12 +92,12 @@
 
 
 @pytest.mark.parametrize("line", ("make all", "python3 -m venv x && gcc -c x.c", "python3 -m ensurepip"))
-def test_a_command_that_no_listed_package_has_is_noticed(line):
+def test_a_command_of_no_listed_package_is_detected(line):
     with pytest.raises(KeyError):
         needed_packages(line)
 
 
-def test_an_installation_has_every_package_of_the_source():
+def test_an_installation_contains_every_package_of_the_source():
     listed = tomllib.loads((ROOT / "pyproject.toml").read_text())["tool"]["setuptools"]["packages"]
     found = {
         ".".join(path.parent.relative_to(ROOT).parts) for path in (ROOT / "molespur").rglob("__init__.py")
