--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,6 @@
-"""Settings of all tests: property tests draw the same examples in every run, unless told to explore.
+"""Settings for all tests: property tests draw the same examples in every run.
 
-`pytest --hypothesis-profile explore` draws fresh ones; what it finds becomes a fixed example of a test.
+`pytest --hypothesis-profile explore` draws fresh ones; a failure that it finds becomes a fixed example.
 """
 
 import asyncio
@@ -19,10 +19,10 @@
 
 @pytest.fixture(autouse=True)
 def no_task_is_left_on_a_closed_loop():
-    """A task that a test leaves behind ends within another one, when the garbage collector finds it.
+    """Guards against a task that a test leaves behind and the garbage collector ends during another test.
 
-    What was seen: its traceback was made while that other test parsed sources, which CPython 3.11.7 does not
-    bear ("AST constructor recursion depth mismatch"), and a test failed that had no part in it.
+    Its traceback is then created while that test may be parsing sources, where CPython 3.11.7 fails with "AST
+    constructor recursion depth mismatch": a test fails that has nothing to do with the task.
     """
     yield
     left = [task for task in asyncio.tasks._all_tasks if not task.done() and task.get_loop().is_closed()]
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""Real processes of one scheduler at one address, with workers and clients on loopback."""
+"""Real scheduler processes at one address, with a worker and clients on loopback."""
 
 import contextlib
 import json
@@ -28,18 +28,18 @@
 
 
 def wait_until(condition, seconds=15):
-    """Wait for something to be so, bounded."""
+    """Wait until a condition holds, for a bounded time."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         with contextlib.suppress(OSError):
             if condition():
                 return
         time.sleep(0.02)
-    raise AssertionError("it never came to be so")
+    raise AssertionError("the condition did not hold in time")
 
 
 class Worker:
-    """A records worker that answers each job after a while, in threads of its own."""
+    """A records worker that answers each job after wait_s, in threads of its own."""
 
     def __init__(self, wait_s):
         self.wait_s, self.server = wait_s, socket.create_server(("127.0.0.1", 0))
@@ -109,17 +109,17 @@
 
 
 class ClientLoad:
-    """Clients that hand in one job after another until told to stop, and count how they end."""
+    """Clients that submit one job after another until `stop`, and count served and lost jobs."""
 
     def __init__(self, site, many=8):
-        self.site, self.going, self.served, self.lost = site, True, 0, []
+        self.site, self.running, self.served, self.lost = site, True, 0, []
         self.threads = [threading.Thread(target=self.go, args=(i,), daemon=True) for i in range(many)]
         for thread in self.threads:
             thread.start()
 
     def go(self, number):
         sock, count = None, 0
-        while self.going and count < 2000:
+        while self.running and count < 2000:
             count += 1
             name = f"r{number}-{count}"
             head = f"POST /lookup HTTP/1.1\r\nHost: x\r\nX-Request-ID: {name}\r\nX-Timeout-Ms: 5000\r\n"
@@ -136,7 +136,7 @@
                 if answer.startswith(b"HTTP/1.1 200") and answer.endswith(name.encode()):
                     self.served += 1
                 else:
-                    # a close that crosses a request on a kept connection: it is sent once more
+                    # the connection was closed while the request was on its way: it is sent once more
                     if not (kept and not answer and attempt == 0):
                         self.lost.append((name, why, answer[:80]))
                     sock.close()
@@ -149,7 +149,7 @@
                 break
 
     def stop(self):
-        self.going = False
+        self.running = False
         for thread in self.threads:
             thread.join(20)
         return self.served, self.lost
--- a/tests/processor_share.py
+++ b/tests/processor_share.py
@@ -1,8 +1,8 @@
-"""What part of the time that processes could run they had a processor, by the kernel's own account (Linux).
+"""The share of their runnable time for which processes had a processor, by the kernel's accounting (Linux).
 
-A bound on what real processes do in real time holds for a machine that lets them run.  Beside more work than
-it has processors for they wait for their turns; the kernel tells how long (`/proc/PID/task/*/schedstat`:
-nanoseconds run, nanoseconds waited while ready to run).
+Bounds on real processes in real time assume a machine that lets them run.  On a busy machine they wait for a
+processor; the kernel counts for how long (`/proc/PID/task/*/schedstat`: nanoseconds run, nanoseconds waited
+while runnable).
 """
 
 import os
@@ -10,24 +10,24 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-CALM_SHARE = 0.8  # with this or more a bound holds in full
+FULL_BOUND_SHARE = 0.8  # from this share on a bound applies in full
 
 
 @dataclass(frozen=True)
 class ProcessorTime:
-    """Times of some processes so far, ns."""
+    """Total times of some processes, in ns."""
 
     ran: int = 0
     waited: int = 0
 
     def share_since(self, earlier: "ProcessorTime") -> float:
-        """Time run over time ready to run, since an earlier account; 1 where nothing is told."""
+        """Time run over time runnable since an earlier reading; 1 where both are 0."""
         ran, waited = self.ran - earlier.ran, self.waited - earlier.waited
         return ran / (ran + waited) if ran + waited > 0 else 1.0
 
 
 def processor_time(pids: Iterable[int]) -> ProcessorTime:
-    """The account of these processes and of this one, all their threads."""
+    """The times of these processes and of this one, over all their threads."""
     ran = waited = 0
     for pid in {os.getpid(), *pids}:
         for path in Path(f"/proc/{pid}/task").glob("*/schedstat"):
@@ -41,5 +41,5 @@
 
 
 def scaled(bound: float, share: float) -> float:
-    """A bound for processes that had this share: the whole of it on a machine with processors to spare."""
-    return bound * min(share / CALM_SHARE, 1.0)
+    """The bound for processes that had this share: reduced in proportion on a busy machine."""
+    return bound * min(share / FULL_BOUND_SHARE, 1.0)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail lets just these fail."""
+"""Only the tests listed in KNOWN-RED.txt may fail."""
 
 import pytest
 
@@ -31,14 +31,14 @@
     ],
     ids=["no file", "empty", "one of two", "both", "one that passes"],
 )
-def test_just_these_may_fail(run, text, code, counts):
+def test_only_the_listed_tests_may_fail(run, text, code, counts):
     result = run(text)
     assert result.ret == code
     result.assert_outcomes(**counts)
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         ("test_it.py::test_gone | a fault | issue 1", "no such test: test_it.py::test_gone"),
         ("test_no.py::test_bad | a fault | issue 1", "no such test: test_no.py::test_bad"),
@@ -47,12 +47,12 @@
         ("\n".join(f"test_it.py::t{i} | a | b" for i in range(4)), "4 tests, 3 at most"),
     ],
 )
-def test_a_list_that_makes_no_sense_fails_the_run(run, text, says):
+def test_an_invalid_list_fails_the_run(run, text, message):
     result = run(text)
     assert result.ret == pytest.ExitCode.USAGE_ERROR
-    result.stderr.fnmatch_lines([f"*{says}*"])
+    result.stderr.fnmatch_lines([f"*{message}*"])
 
 
-def test_a_part_of_the_tests_can_be_run(run):
+def test_a_selection_of_the_tests_can_be_run(run):
     assert run(f"{BAD}\n{WORSE}", "test_it.py::test_good").ret == 0
     assert run(f"{BAD}\n{WORSE}", "-k", "good").ret == 0
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as it stands."""
+"""The Python example of README.md runs unchanged."""
 
 import re
 from pathlib import Path
