--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Idle clients take many descriptors while discovery is down: the watch, workers and responses keep theirs."""
+"""Idle clients take many descriptors while discovery is down: watch, workers and responses keep theirs."""
 
 import contextlib
 import errno
