--- a/molespur/standins/virtual_site.py
+++ b/molespur/standins/virtual_site.py
@@ -15,7 +15,7 @@
 from ..fleet import shared
 from ..fleet.sharing import Share
 from ..fleet.shedding import Load
-from ..interface import FleetNews, JobClass, NewsMode, Outcome, Settings, WorkerEntry
+from ..interface import FleetUpdate, JobClass, Outcome, Settings, UpdateMode, WorkerEntry
 from ..logic import Dispatcher
 from .virtual_state import VirtualState
 
@@ -88,7 +88,7 @@
         entries = tuple(WorkerEntry(name) for name in self.workers)
         for i, one in enumerate(self.schedulers):
             self.act(i, one.handle(0.0, io.Started()))
-            self.act(i, one.handle(0.0, FleetNews(NewsMode.COMPLETE, entries)))
+            self.act(i, one.handle(0.0, FleetUpdate(UpdateMode.COMPLETE, entries)))
         self._arrivals()
 
     @property
@@ -289,7 +289,7 @@
                     self.tell(i, self.news(i, one, self.state.clock(i)))
         self.at(self.now + self.STEP_MS, self._step)
 
-    def news(self, i: int, one: shared.Shared, now: float) -> io.SharedNews:
+    def news(self, i: int, one: shared.Shared, now: float) -> io.SharedState:
         """What scheduler i's shared state tells its module."""
         retries = float("inf")
         if one.retries is not None:
@@ -298,10 +298,10 @@
                 one.retries.deny()
             self.failing[i] = False
         names = [c.name for c in self.settings.classes]
-        return io.SharedNews(
-            bad=frozenset(one.bad(now)), retries=retries,
-            probes=one.watching.watched if one.watching is not None else None,
-            shed=dict(zip(names, one.shed(now), strict=False)),
+        return io.SharedState(
+            bad_workers=frozenset(one.bad(now)), retries_left=retries,
+            probe_workers=one.watching.watched if one.watching is not None else None,
+            shed_shares=dict(zip(names, one.shed(now), strict=False)),
         )  # fmt: skip
 
     def _take_loads(self, i: int) -> list[Load]:
