--- a/benchmarks/fleet_state.py
+++ b/benchmarks/fleet_state.py
@@ -31,7 +31,7 @@
 from molespur.fleet import shared
 from molespur.fleet.crdt import Counts, Row
 from molespur.fleet.escrow import Escrow
-from molespur.fleet.sharing import Ask, Kind, Share, TicketAsk, Wish, tickets_for
+from molespur.fleet.sharing import Kind, LoanRequest, Share, Shortfall, TicketRequest, tickets_for
 from molespur.fleet.tickets import Witness, to_bits
 from molespur.interface import FleetNews, JobClass, NewsMode, Outcome, WorkerEntry
 from molespur.standins.fleet_load import FleetLoad, FleetWorker
@@ -226,14 +226,14 @@
         turn[0] += 1
         return turn[0]
 
-    wishes = [Wish(f"cold/w{k}", 1.0) for k in range(24)]
+    wishes = [Shortfall(f"cold/w{k}", 1.0) for k in range(24)]
     asks = {
         "a row merged": lambda: totals.merge(rows[seq() % 200], 0.0),
         "tickets asked of a witness (3)": lambda: witness.ask(
-            TicketAsk(seq(), "m9", 1, share.mark, bits), 1.0
+            TicketRequest(seq(), "m9", 1, share.mark, bits), 1.0
         ),
         "loans asked of a lender (24 budgets)": lambda: escrow.asked(
-            Ask(seq(), "m9", 1, share.mark, wishes), 1.0
+            LoanRequest(seq(), "m9", 1, share.mark, wishes), 1.0
         ),
         "what may be spent of a budget": lambda: escrow.available("cold/w1", 1.0),
     }
--- a/molespur/fleet/escrow.py
+++ b/molespur/fleet/escrow.py
@@ -19,7 +19,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from .sharing import ITEMS_MOST, Ask, Kind, Lend, Loan, Share, Wish
+from .sharing import ITEMS_MOST, Kind, Loan, LoanReply, LoanRequest, Share, Shortfall
 
 KEEP = 1.25  # a member keeps this multiple of what it spends
 GROW = 2.0  # what a member that was denied wants, of what it may spend
@@ -121,7 +121,7 @@
 
     # -- Lending ---------------------------------------------------------------------------------
 
-    def asked(self, ask: Ask, now: float) -> Lend | None:
+    def asked(self, ask: LoanRequest, now: float) -> LoanReply | None:
         """Another lacks: lend what we can spare.  None: nothing, or the ask is old."""
         if self._seen.get(ask.src, (-1, 0)) >= (ask.life, ask.seq):
             self.counts["asks_old"] += 1
@@ -141,9 +141,9 @@
                 budget.lent.setdefault(ask.src, []).append((until, amount))
                 loans.append(Loan(wish.budget, amount, self.share.loan_ms))
         self.counts["loans_lent"] += len(loans)
-        return Lend(ask.seq, self.me, ask.life, loans) if loans else None
+        return LoanReply(ask.seq, self.me, ask.life, loans) if loans else None
 
-    def _spare(self, budget: Budget, wish: Wish, borrower: str, now: float) -> float:
+    def _spare(self, budget: Budget, wish: Shortfall, borrower: str, now: float) -> float:
         """What this borrower gets: our spare, in proportion to what all lack that asked lately."""
         budget.asking[borrower] = (wish.lack, now)
         budget.asking = {m: a for m, a in budget.asking.items() if now - a[1] < self.share.loan_ms}
@@ -163,7 +163,7 @@
 
     # -- Borrowing -------------------------------------------------------------------------------
 
-    def renew(self, now: float, others: list[str]) -> list[tuple[str, Ask]]:
+    def renew(self, now: float, others: list[str]) -> list[tuple[str, LoanRequest]]:
         """Each `renew_ms`: whom to ask, and for what.  Lets go what has run out."""
         self._let_go(now)
         lacks = {}
@@ -179,10 +179,10 @@
                 lacks[name] = lack
         return self._asks(lacks, now, others) if lacks else []
 
-    def _asks(self, lacks: dict[str, float], now: float, others: list[str]) -> list[tuple[str, Ask]]:
+    def _asks(self, lacks: dict[str, float], now: float, others: list[str]) -> list[tuple[str, LoanRequest]]:
         """Lenders whose loans are running out, and some others where all loans are not enough."""
         soon = now + FRESH * self.share.loan_ms
-        wishes: dict[str, list[Wish]] = {}
+        wishes: dict[str, list[Shortfall]] = {}
         # guards against a fleet in which all lack asking itself in vain
         grown = self.counts["loans_taken"] > self._taken
         self._reach = min(2 * self._reach, self.share.asked_most) if grown else max(self._reach // 2, 2)
@@ -205,22 +205,22 @@
                     self._wish(wishes, member, name, wish)
         return [(member, self.ask(member, some, now)) for member, some in wishes.items()]
 
-    def ask(self, member: str, wishes: list[Wish], now: float) -> Ask:
+    def ask(self, member: str, wishes: list[Shortfall], now: float) -> LoanRequest:
         """An ask to a member, whose answer is waited for."""
         self._seq += 1
         self._asked[self._seq] = (now, member)
         self._asked.pop(self._seq - ASKS_KEPT, None)
         self.counts["asks"] += 1
-        return Ask(self._seq, self.me, self.life, self.share.mark, wishes)
+        return LoanRequest(self._seq, self.me, self.life, self.share.mark, wishes)
 
-    def _wish(self, wishes: dict[str, list[Wish]], member: str, name: str, lack: float) -> None:
+    def _wish(self, wishes: dict[str, list[Shortfall]], member: str, name: str, lack: float) -> None:
         if member not in wishes and len(wishes) >= LENDERS * self.share.asked_most:
             return  # what a member sends stays bounded, however much it lacks
         some = wishes.setdefault(member, [])
         if len(some) < ITEMS_MOST:
-            some.append(Wish(name, lack))
+            some.append(Shortfall(name, lack))
 
-    def lent_to_us(self, lend: Lend, now: float) -> bool:
+    def lent_to_us(self, lend: LoanReply, now: float) -> bool:
         """The answer to one of our asks; False where it is none of them, and why is counted."""
         at, whom = self._asked.get(lend.seq, (0.0, ""))
         if lend.life != self.life or whom != lend.src:
--- a/molespur/fleet/evidence.py
+++ b/molespur/fleet/evidence.py
@@ -14,7 +14,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from .sharing import Seen, Share
+from .sharing import RequestCounts, Share
 
 BUCKETS = 10  # of a window: old counts go by a tenth of it
 LOUD = 20  # requests of one member that count for a volume at most
@@ -53,7 +53,7 @@
         for _, bucket in self._buckets:
             bucket.pop(worker, None)
 
-    def window(self, now: float) -> dict[str, Seen]:
+    def window(self, now: float) -> dict[str, RequestCounts]:
         """Counts over the window, by worker."""
         oldest = int(now // (self.share.window_ms / BUCKETS)) - BUCKETS
         while self._buckets and self._buckets[0][0] <= oldest:
@@ -64,7 +64,7 @@
                 counts = found.setdefault(worker, [0, 0])
                 counts[0] += sent
                 counts[1] += failed
-        return {worker: Seen(worker, *counts) for worker, counts in found.items()}
+        return {worker: RequestCounts(worker, *counts) for worker, counts in found.items()}
 
 
 class Evidence:
@@ -73,9 +73,9 @@
     def __init__(self, share: Share):
         self.share = share
         # worker -> member -> ((life, seq), when heard, counts)
-        self.told: dict[str, dict[str, tuple[tuple[int, int], float, Seen]]] = {}
+        self.told: dict[str, dict[str, tuple[tuple[int, int], float, RequestCounts]]] = {}
 
-    def tell(self, member: str, order: tuple[int, int], seen: Seen, now: float) -> str:
+    def tell(self, member: str, order: tuple[int, int], seen: RequestCounts, now: float) -> str:
         """Take a member's counts in; "" or why not."""
         if seen.failed > seen.sent:
             return "absurd"
--- a/molespur/fleet/gossip.py
+++ b/molespur/fleet/gossip.py
@@ -15,7 +15,7 @@
 from .. import logs
 from . import wire
 from .model import Address, Tuning
-from .sharing import Sharing
+from .sharing import StateMessage
 from .swim import (
     Changed,
     Conflict,
@@ -148,7 +148,7 @@
     def _drained(self) -> None:
         """What has come has been read."""
 
-    def _shared(self, message: Sharing) -> None:
+    def _shared(self, message: StateMessage) -> None:
         """A message of shared state has come; here there is none."""
         self.counters["fleet.dropped.unshared"] += 1
 
@@ -220,7 +220,7 @@
             if message is None:
                 self.counters["fleet.dropped." + why] += 1
                 continue
-            if isinstance(message, Sharing):
+            if isinstance(message, StateMessage):
                 self._shared(message)
             else:
                 self._do(self.membership.handle(self.clock.now(), Received(message)))
--- a/molespur/fleet/judgements.py
+++ b/molespur/fleet/judgements.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterator
 
 from .crdt import HybridClock, LWWMap, Register
-from .sharing import Said
+from .sharing import RegisterUpdate
 
 PEERS_KEPT = 33  # members whose clocks ours is compared with
 BAD, ASK = b"bad", b"ask"  # judged bad; judges ask for what members saw of it
@@ -40,13 +40,13 @@
         middle = ranked[(len(ranked) - 1) // 2 : len(ranked) // 2 + 1]
         return unix_ms + min(middle, key=abs)
 
-    def write(self, key: str, value: bytes, now: float, unix_ms: float) -> Said:
+    def write(self, key: str, value: bytes, now: float, unix_ms: float) -> RegisterUpdate:
         """Write a register; as it is to be told."""
         stamp = self.clock.now(self.fleet_ms(unix_ms))
         self.map, self._born[key] = self.map.put(key, value, stamp), now
-        return Said(key, stamp, value, 0.0)
+        return RegisterUpdate(key, stamp, value, 0.0)
 
-    def hear(self, said: Said, now: float, unix_ms: float) -> str:
+    def hear(self, said: RegisterUpdate, now: float, unix_ms: float) -> str:
         """Another's register: "" if it is news and taken, else why not."""
         if said.age_ms >= self.life_ms:
             return "over"
@@ -61,15 +61,15 @@
         self.map, self._born[said.key] = merged, now - said.age_ms
         return ""
 
-    def told(self, key: str, now: float) -> Said | None:
+    def told(self, key: str, now: float) -> RegisterUpdate | None:
         """A register as it is to be told on now."""
         held = self.map.registers.get(key)
         age = now - self._born.get(key, 0.0)
         if held is None or age >= self.life_ms:
             return None
-        return Said(key, held.stamp, held.value, age)
+        return RegisterUpdate(key, held.stamp, held.value, age)
 
-    def all(self, now: float) -> Iterator[Said]:
+    def all(self, now: float) -> Iterator[RegisterUpdate]:
         for key in self.map.registers:
             if (said := self.told(key, now)) is not None:
                 yield said
--- a/molespur/fleet/shared.py
+++ b/molespur/fleet/shared.py
@@ -23,21 +23,21 @@
 from .retries import KEPT_S, Retries
 from .sharing import (
     ITEMS_MOST,
-    Ask,
-    Lend,
-    LoadTell,
-    Reports,
-    Said,
-    Seen,
+    EvidenceReport,
+    FleetLoadReport,
+    LoanReply,
+    LoanRequest,
+    RegisterUpdate,
+    ReportSubscription,
+    RequestCounts,
     Share,
-    Sharing,
-    Spread,
-    Tell,
-    TicketAsk,
-    TicketSay,
-    Using,
-    Whole,
-    Wish,
+    Shortfall,
+    StateGossip,
+    StateMessage,
+    StateSnapshot,
+    TicketReply,
+    TicketRequest,
+    WorkerReports,
 )
 from .shedding import LIFE_MS, Load, LoadJudge, from_bytes, to_bytes
 from .swim import Send
@@ -67,14 +67,14 @@
 class Heard:
     """A message of shared state."""
 
-    message: Sharing
+    message: StateMessage
 
 
 @dataclass(frozen=True, slots=True)
 class Carried:
     """What rode on a push-pull."""
 
-    whole: Whole
+    whole: StateSnapshot
 
 
 @dataclass(frozen=True, slots=True)
@@ -200,7 +200,7 @@
         self._queue: dict[tuple[str, str], _Queued] = {}  # ("said" or "row", key) still to be told on
         self._next = {name: now + rng.uniform(0.0, 1.0) * getattr(share, f"{name}_ms") for name in CHORES}
         self._seq = 0
-        self._told: dict[str, tuple[Seen, float]] = {}  # worker -> what we told its judges last, and when
+        self._told: dict[str, tuple[RequestCounts, float]] = {}  # worker -> (last reported, when)
         self._asked_of: dict[str, float] = {}  # worker -> since when we as its judge look into it
         self.watching = Watching(me, share) if share.watchers else None
         self.judge, self.loads, self._load_at = LoadJudge(me, share), loads, now
@@ -254,9 +254,9 @@
             return ()
         return tuple(from_bytes(said.value))
 
-    def whole(self, now: float) -> Whole:
+    def whole(self, now: float) -> StateSnapshot:
         """What rides on a push-pull."""
-        return Whole(list(self.judgements.all(now)), list(self.totals.rows.values()))
+        return StateSnapshot(list(self.judgements.all(now)), list(self.totals.rows.values()))
 
     def fallen_to(self, member: str) -> set[int]:
         """The tickets that fall to a member by our view."""
@@ -274,35 +274,35 @@
 
     # -- Messages ----------------------------------------------------------------------------------
 
-    def _heard(self, now: float, unix_ms: float, message: Sharing) -> None:
+    def _heard(self, now: float, unix_ms: float, message: StateMessage) -> None:
         if message.src == self.me:
             self.counts["from_ourselves"] += 1
-        elif isinstance(message, TicketAsk):
+        elif isinstance(message, TicketRequest):
             self._ticket_ask(now, message)
-        elif isinstance(message, TicketSay):
+        elif isinstance(message, TicketReply):
             if not self.holder.said(message):
                 self.counts["says_not_asked_for"] += 1
             self._note_owned(now)
-        elif isinstance(message, Ask):
+        elif isinstance(message, LoanRequest):
             if message.mark != self.share.mark:
                 self._refuse(message.src, "marks_differ", now)
             elif (lend := self.escrow.asked(message, now)) is not None:
                 self._send(message.src, lend)
-        elif isinstance(message, Lend):
+        elif isinstance(message, LoanReply):
             self.escrow.lent_to_us(message, now)
-        elif isinstance(message, Tell):
+        elif isinstance(message, EvidenceReport):
             for seen in message.seen:
                 why = self.evidence.tell(message.src, (message.life, message.seq), seen, now)
                 self.counts["evidence_" + (why or "taken")] += 1
                 if why == "absurd":
                     self._refuse(message.src, "evidence", now)
-        elif isinstance(message, Using):
+        elif isinstance(message, ReportSubscription):
             if self.watching is not None:
                 self.watching.used_by(message, now)
-        elif isinstance(message, Reports):
+        elif isinstance(message, WorkerReports):
             self.counts["reports_taken"] += len(message.reports)
             self._out += [Learnt(one.worker, one.fields) for one in message.reports]
-        elif isinstance(message, LoadTell):
+        elif isinstance(message, FleetLoadReport):
             order = (message.life, message.seq)
             if not self.judge.take(message.src, order, now, message.span_ms, message.loads):
                 self.counts["loads_not_taken"] += 1
@@ -322,7 +322,7 @@
             self._named[member, why] = now
             self._out.append(Refused(member, why))
 
-    def _ticket_ask(self, now: float, ask: TicketAsk) -> None:
+    def _ticket_ask(self, now: float, ask: TicketRequest) -> None:
         if self.witness is None or ask.mark != self.share.mark:
             self._refuse(ask.src, "not_a_witness" if self.witness is None else "marks_differ", now)
         elif (say := self.witness.ask(ask, now)) is None:
@@ -330,7 +330,7 @@
         else:
             self._send(ask.src, say)
 
-    def _hear(self, said: Said, now: float, unix_ms: float) -> None:
+    def _hear(self, said: RegisterUpdate, now: float, unix_ms: float) -> None:
         why = self.judgements.hear(said, now, unix_ms)
         self.counts["judgements_" + (why or "taken")] += 1
         if why == "from_the_future":
@@ -370,7 +370,7 @@
                 self._send(member, some)
         if self.retries is not None and (lack := self.retries.lacking(now)) > 0:
             for member in self.rng.sample(list(self.alive), min(len(self.alive), GIVERS)):
-                self._send(member, self.escrow.ask(member, [Wish(RETRY, lack)], now))
+                self._send(member, self.escrow.ask(member, [Shortfall(RETRY, lack)], now))
         self._note_owned(now)
 
     def _note_owned(self, now: float) -> None:
@@ -389,7 +389,7 @@
         asked = self.judgements.having(ASK, now)
         window = self.own.window(now)
         self._told = {w: t for w, t in self._told.items() if w in window}
-        some: dict[str, list[Seen]] = {}
+        some: dict[str, list[RequestCounts]] = {}
         self._seq += 1
         for worker, seen in window.items():
             last, at = self._told.get(worker, (None, 0.0))
@@ -407,7 +407,7 @@
             for start in range(0, len(seen), ITEMS_MOST // 4):
                 part = seen[start : start + ITEMS_MOST // 4]
                 self._seq += 1
-                self._send(judge, Tell(self._seq, self.me, self.life, part))
+                self._send(judge, EvidenceReport(self._seq, self.me, self.life, part))
         self._judge(now, unix_ms)
 
     def _judge(self, now: float, unix_ms: float) -> None:
@@ -464,9 +464,9 @@
                     (said if kind == "said" else rows).append(item)
                     room -= queued.size
             if said or rows:
-                self._send(member, Spread(self.me, unix_ms, said, rows))
+                self._send(member, StateGossip(self.me, unix_ms, said, rows))
 
-    def _queue_up(self, kind: str, key: str, item: Said | Row) -> None:
+    def _queue_up(self, kind: str, key: str, item: RegisterUpdate | Row) -> None:
         size = len(msgspec.msgpack.encode(item)) + 4
         left = RETOLD[kind] * len(str(len(self.alive) + 1))
         if size <= self.datagram_most - HEADROOM:
@@ -498,7 +498,7 @@
             if judge == self.me:
                 self.judge.take(self.me, (self.life, self._seq), now, span, plain)
             else:
-                self._send(judge, LoadTell(self._seq, self.me, self.life, span, plain))
+                self._send(judge, FleetLoadReport(self._seq, self.me, self.life, span, plain))
         said = self.judgements.told(SHED, now)
         parts = self.judge.judge(now, members, None if said is None else said.age_ms, self.shed(now))
         if parts is not None and (any(parts) or said is not None):
@@ -508,7 +508,7 @@
             self._out.append(Shed(now_shed, said.stamp.member if said else self.me))
         self._parts = now_shed
 
-    def _send(self, member: str, message: Sharing) -> None:
+    def _send(self, member: str, message: StateMessage) -> None:
         address = self.alive.get(member)
         if address is None:
             self.counts["nobody_there"] += 1
--- a/molespur/fleet/sharing.py
+++ b/molespur/fleet/sharing.py
@@ -2,7 +2,7 @@
 
 Messages go as datagrams beside the fleet view's (`model.py`); strings, lists and numbers are bounded here.
 Times are milliseconds; no lease compares two clocks: messages carry durations.  The one time
-of a clock told (`Spread.unix_ms`) serves the order of judgements alone.
+of a clock told (`StateGossip.unix_ms`) serves the order of judgements alone.
 """
 
 import zlib
@@ -22,7 +22,7 @@
 ITEMS_MOST = 64  # wishes, loans, pieces of evidence, registers or rows in one datagram
 
 
-class TicketAsk(msgspec.Struct, array_like=True, tag=6):
+class TicketRequest(msgspec.Struct, array_like=True, tag=6):
     """To a witness: lend this life of mine these tickets, for a lease.  `mark` names the settings."""
 
     seq: Count
@@ -32,7 +32,7 @@
     tickets: Bits
 
 
-class TicketSay(msgspec.Struct, array_like=True, tag=7):
+class TicketReply(msgspec.Struct, array_like=True, tag=7):
     """A witness's answer to the ask `seq` of that life: the tickets it lends."""
 
     seq: Count
@@ -41,21 +41,21 @@
     tickets: Bits
 
 
-class Wish(msgspec.Struct, array_like=True, frozen=True):
+class Shortfall(msgspec.Struct, array_like=True, frozen=True):
     """How much of a budget the sender lacks."""
 
     budget: Key
     lack: Amount
 
 
-class Ask(msgspec.Struct, array_like=True, tag=8):
+class LoanRequest(msgspec.Struct, array_like=True, tag=8):
     """Lend me of these budgets what you can spare."""
 
     seq: Count
     src: Id
     life: Count
     mark: Count
-    wishes: Annotated[list[Wish], Meta(max_length=ITEMS_MOST)]
+    wishes: Annotated[list[Shortfall], Meta(max_length=ITEMS_MOST)]
 
 
 class Loan(msgspec.Struct, array_like=True, frozen=True):
@@ -66,7 +66,7 @@
     life_ms: Amount
 
 
-class Lend(msgspec.Struct, array_like=True, tag=9):
+class LoanReply(msgspec.Struct, array_like=True, tag=9):
     """The answer to the ask `seq` of that life."""
 
     seq: Count
@@ -75,7 +75,7 @@
     loans: Annotated[list[Loan], Meta(max_length=ITEMS_MOST)]
 
 
-class Seen(msgspec.Struct, array_like=True, frozen=True):
+class RequestCounts(msgspec.Struct, array_like=True, frozen=True):
     """What a member saw of one worker over its own sliding window: requests ended, and how many failed."""
 
     worker: Key
@@ -83,16 +83,16 @@
     failed: Count
 
 
-class Tell(msgspec.Struct, array_like=True, tag=10):
+class EvidenceReport(msgspec.Struct, array_like=True, tag=10):
     """Evidence for a worker's judges: the latest of a life stands for all before it."""
 
     seq: Count
     src: Id
     life: Count
-    seen: Annotated[list[Seen], Meta(max_length=ITEMS_MOST)]
+    seen: Annotated[list[RequestCounts], Meta(max_length=ITEMS_MOST)]
 
 
-class Said(msgspec.Struct, array_like=True, frozen=True):
+class RegisterUpdate(msgspec.Struct, array_like=True, frozen=True):
     """A register as told on: what was written and when, and how long others have held it."""
 
     key: Key
@@ -101,30 +101,30 @@
     age_ms: Amount
 
 
-class Spread(msgspec.Struct, array_like=True, tag=11):
+class StateGossip(msgspec.Struct, array_like=True, tag=11):
     """Registers and rows of counts, told on to a few members; `unix_ms` is the sender's clock as it sends."""
 
     src: Id
     unix_ms: Amount
-    said: Annotated[list[Said], Meta(max_length=ITEMS_MOST)] = []
+    said: Annotated[list[RegisterUpdate], Meta(max_length=ITEMS_MOST)] = []
     rows: Annotated[list[Row], Meta(max_length=ITEMS_MOST)] = []
 
 
-class Whole(msgspec.Struct, array_like=True):
+class StateSnapshot(msgspec.Struct, array_like=True):
     """The shared state that rides on a push-pull."""
 
-    said: Annotated[list[Said], Meta(max_length=8_192)] = []
+    said: Annotated[list[RegisterUpdate], Meta(max_length=8_192)] = []
     rows: Annotated[list[Row], Meta(max_length=4_096)] = []
 
 
-class Using(msgspec.Struct, array_like=True, tag=12):
+class ReportSubscription(msgspec.Struct, array_like=True, tag=12):
     """To those that watch these workers: I use them, send me their reports."""
 
     src: Id
     workers: Annotated[list[Key], Meta(max_length=ITEMS_MOST)]
 
 
-class Report(msgspec.Struct, array_like=True, frozen=True):
+class WorkerReport(msgspec.Struct, array_like=True, frozen=True):
     """A worker's load report, as a probe of the sender's brought it just now."""
 
     worker: Key
@@ -132,14 +132,14 @@
                       Meta(max_length=16)]  # fmt: skip
 
 
-class Reports(msgspec.Struct, array_like=True, tag=13):
+class WorkerReports(msgspec.Struct, array_like=True, tag=13):
     """Reports of workers that the sender watches, for one that uses them."""
 
     src: Id
-    reports: Annotated[list[Report], Meta(max_length=ITEMS_MOST)]
+    reports: Annotated[list[WorkerReport], Meta(max_length=ITEMS_MOST)]
 
 
-class LoadTell(msgspec.Struct, array_like=True, tag=14):
+class FleetLoadReport(msgspec.Struct, array_like=True, tag=14):
     """To the judges of the fleet's load: of each class, in the settings' order, over the last `span_ms`, jobs
     asked for, turned away as agreed, served in time, served late, refused or failed."""
 
@@ -150,8 +150,11 @@
     loads: Annotated[list[tuple[Count, Count, Count, Count, Count]], Meta(max_length=ITEMS_MOST)]
 
 
-Sharing = TicketAsk | TicketSay | Ask | Lend | Tell | Spread | Using | Reports | LoadTell
-Anything = Message | Sharing
+StateMessage = (
+    TicketRequest | TicketReply | LoanRequest | LoanReply | EvidenceReport | StateGossip
+    | ReportSubscription | WorkerReports | FleetLoadReport
+)  # fmt: skip
+AnyMessage = Message | StateMessage
 
 
 @dataclass(frozen=True, slots=True)
--- a/molespur/fleet/state.py
+++ b/molespur/fleet/state.py
@@ -27,7 +27,7 @@
     load_report,
     report,
 )
-from .sharing import Sharing
+from .sharing import StateMessage
 from .uses import Uses
 
 log = logs.get(__name__)
@@ -79,7 +79,7 @@
         if self._lent != self.machine.escrow.counts["loans_lent"]:
             self._hold()  # guards against spending what has just been lent
 
-    def _shared(self, message: Sharing) -> None:
+    def _shared(self, message: StateMessage) -> None:
         self._tell(Heard(message))
 
     def _carried(self, exchange) -> None:
--- a/molespur/fleet/tickets.py
+++ b/molespur/fleet/tickets.py
@@ -14,7 +14,7 @@
 import math
 from collections.abc import Iterable
 
-from .sharing import Share, TicketAsk, TicketSay
+from .sharing import Share, TicketReply, TicketRequest
 
 MOVE_SHARE = 0.1  # of the tickets held that are let go at once for members that came: the rest works on
 ASKS_KEPT = 8  # own asks whose answers may still come
@@ -46,7 +46,7 @@
         self.lent: dict[int, tuple[tuple[str, int], float]] = {}  # ticket -> ((member, life), until)
         self._seqs: dict[tuple[str, int], tuple[int, float]] = {}  # (member, life) -> its last ask, and when
 
-    def ask(self, ask: TicketAsk, now: float) -> TicketSay | None:
+    def ask(self, ask: TicketRequest, now: float) -> TicketReply | None:
         """The answer to an ask; None to one that is not newer than the last of that life."""
         holder = (ask.src, ask.life)
         if ask.seq <= self._seqs.get(holder, (-1, 0.0))[0]:
@@ -60,7 +60,7 @@
                 if ticket < self.count and (other == holder or until <= now):
                     self.lent[ticket] = (holder, now + self.keep_ms)
                     granted.add(ticket)
-        return TicketSay(ask.seq, self.me, ask.life, to_bits(granted))
+        return TicketReply(ask.seq, self.me, ask.life, to_bits(granted))
 
     def _forget(self, now: float) -> None:
         """Forget lives that ask no more; guards memory against ever new ones."""
@@ -80,7 +80,7 @@
         self._asked: dict[int, float] = {}  # ask -> when
         self._yes: dict[int, dict[str, float]] = {}  # ticket -> witness -> until, by our clock
 
-    def ask(self, fallen: set[int], now: float) -> TicketAsk:
+    def ask(self, fallen: set[int], now: float) -> TicketRequest:
         """The next ask, for the tickets that fall to us and those that we own still.
 
         What has fallen to others is let go a part at a time: while a ticket changes hands nobody has it.
@@ -96,9 +96,9 @@
         self._asked.pop(self._seq - ASKS_KEPT, None)
         self._since = {ticket: self._since.get(ticket, self._seq) for ticket in self.wanted}
         self._yes = {t: yes for t, yes in self._yes.items() if t in self.wanted or self.until(t) > now}
-        return TicketAsk(self._seq, self.me, self.life, self.share.mark, to_bits(self.wanted))
+        return TicketRequest(self._seq, self.me, self.life, self.share.mark, to_bits(self.wanted))
 
-    def said(self, say: TicketSay) -> bool:
+    def said(self, say: TicketReply) -> bool:
         """A witness's answer; False where it answers none of our last asks."""
         asked = self._asked.get(say.seq)
         if asked is None or say.life != self.life or say.src not in self.share.witnesses:
--- a/molespur/fleet/watching.py
+++ b/molespur/fleet/watching.py
@@ -1,14 +1,14 @@
 """Probes shared, not multiplied: a few members probe a worker for all that use it.  Pure.
 
 Each worker falls to `watchers` members by rendezvous hashing over the fleet view, so that probes at one
-worker do not grow with the fleet.  A member tells the watchers of the workers that it sends to (`Using`);
-they send it what their probes bring (`Reports`), many in a datagram.
+worker do not grow with the fleet.  A member subscribes (`ReportSubscription`) at the watchers of the workers
+that it sends to; they send it what their probes bring (`WorkerReports`), many in a datagram.
 """
 
 from collections.abc import Iterable
 
 from .rendezvous import pick
-from .sharing import ITEMS_MOST, Report, Reports, Share, Using
+from .sharing import ITEMS_MOST, ReportSubscription, Share, WorkerReport, WorkerReports
 
 KEPT = 2.5  # tellings after which a member uses a worker no more
 NAMES_EACH, REPORTS_EACH = ITEMS_MOST // 4, ITEMS_MOST // 8  # in one datagram
@@ -37,7 +37,7 @@
     def watchers(self, worker: str) -> list[str]:
         return pick(f"watch/{worker}", self._members, self.share.watchers)
 
-    def used_by(self, using: Using, now: float) -> None:
+    def used_by(self, using: ReportSubscription, now: float) -> None:
         """Another uses workers that we watch."""
         for worker in using.workers:
             if worker in self.watched:
@@ -52,7 +52,7 @@
         if worker in self.watched:
             self._brought[worker] = fields
 
-    def using(self, workers: Iterable[str], now: float) -> list[tuple[str, Using]]:
+    def using(self, workers: Iterable[str], now: float) -> list[tuple[str, ReportSubscription]]:
         """Tell those that watch the workers that we use; forget who has gone."""
         alive = set(self._members)
         self._users = {worker: {m: until for m, until in users.items() if now < until and m in alive}
@@ -62,18 +62,18 @@
             for member in self.watchers(worker):
                 if member != self.me:
                     some.setdefault(member, []).append(worker)
-        return [(member, Using(self.me, names[at : at + NAMES_EACH]))
+        return [(member, ReportSubscription(self.me, names[at : at + NAMES_EACH]))
                 for member, names in some.items() for at in range(0, len(names), NAMES_EACH)]  # fmt: skip
 
-    def reports(self) -> list[tuple[str, Reports]]:
+    def reports(self) -> list[tuple[str, WorkerReports]]:
         """What our probes have brought, for those that use the workers; look at what we watch, if need be."""
         if self._stale:
             self._stale = False
             self.watched = frozenset(w for w in self._listed if self.me in self.watchers(w))
-        some: dict[str, list[Report]] = {}
+        some: dict[str, list[WorkerReport]] = {}
         for worker, fields in self._brought.items():
             for member in self._users.get(worker, ()):
-                some.setdefault(member, []).append(Report(worker, fields))
+                some.setdefault(member, []).append(WorkerReport(worker, fields))
         self._brought.clear()
-        return [(member, Reports(self.me, found[at : at + REPORTS_EACH]))
+        return [(member, WorkerReports(self.me, found[at : at + REPORTS_EACH]))
                 for member, found in some.items() for at in range(0, len(found), REPORTS_EACH)]  # fmt: skip
--- a/molespur/fleet/wire.py
+++ b/molespur/fleet/wire.py
@@ -9,16 +9,16 @@
 import msgspec
 
 from .model import VERSION, Exchange, News, Packet
-from .sharing import Anything, Whole
+from .sharing import AnyMessage, StateSnapshot
 
 LENGTH = struct.Struct("!I")
 REASONS = ("oversized", "malformed", "version", "cluster")
 
 _encoder = msgspec.msgpack.Encoder()
 _packet = msgspec.msgpack.Decoder(Packet)
-_message = msgspec.msgpack.Decoder(Anything)
+_message = msgspec.msgpack.Decoder(AnyMessage)
 _exchange = msgspec.msgpack.Decoder(Exchange)
-_whole = msgspec.msgpack.Decoder(Whole | None)
+_whole = msgspec.msgpack.Decoder(StateSnapshot | None)
 NOTHING = b"\xc0"  # nil
 
 
@@ -31,7 +31,7 @@
 _head = msgspec.msgpack.Decoder(_Head)
 
 
-def encode(cluster: str, message: Anything) -> bytes:
+def encode(cluster: str, message: AnyMessage) -> bytes:
     """One datagram."""
     return _encoder.encode(Packet(VERSION, cluster, msgspec.Raw(_encoder.encode(message))))
 
@@ -48,7 +48,7 @@
         return None
 
 
-def decode(data: bytes, cluster: str, most: int) -> tuple[Anything | None, str]:
+def decode(data: bytes, cluster: str, most: int) -> tuple[AnyMessage | None, str]:
     """The message of a datagram and "", or None and the reason why not."""
     if len(data) > most:
         return None, "oversized"
@@ -85,12 +85,12 @@
     return exchange, ""
 
 
-def encode_whole(whole: Whole) -> bytes:
+def encode_whole(whole: StateSnapshot) -> bytes:
     """The shared state that rides on a push-pull."""
     return _encoder.encode(whole)
 
 
-def decode_whole(data: msgspec.Raw) -> tuple[Whole | None, str]:
+def decode_whole(data: msgspec.Raw) -> tuple[StateSnapshot | None, str]:
     """The shared state of a push-pull, None where there is none, and why not where it can't be taken."""
     try:
         return _whole.decode(data), ""
--- a/molespur/standins/virtual_state.py
+++ b/molespur/standins/virtual_state.py
@@ -11,7 +11,7 @@
 
 from ..fleet import shared, wire
 from ..fleet.model import State, Tuning
-from ..fleet.sharing import Share, Sharing
+from ..fleet.sharing import Share, StateMessage
 from ..fleet.swim import Changed
 from .virtual_fleet import VirtualFleet
 
@@ -86,7 +86,7 @@
             self._spend(i, name, wanted)
 
     def _take(self, i: int, message) -> None:
-        if isinstance(message, Sharing):
+        if isinstance(message, StateMessage):
             self.tell(i, shared.Heard(message))
         else:
             super()._take(i, message)
--- a/tests/fleet/test_load.py
+++ b/tests/fleet/test_load.py
@@ -7,7 +7,7 @@
 
 from molespur.fleet.concurrency import LEAST, MOST, Gradient
 from molespur.fleet.retries import Retries
-from molespur.fleet.sharing import Share, Using
+from molespur.fleet.sharing import ReportSubscription, Share
 from molespur.fleet.shedding import ACT_MS, LIFE_MS, Load, LoadJudge, Pace, from_bytes, to_bytes
 from molespur.fleet.watching import Watching
 from molespur.standins.virtual_site import FleetSite
@@ -121,7 +121,7 @@
     one.members(["b"])
     one.listed(frozenset({"w"}))
     one.reports()
-    one.used_by(Using("b", ["w", "elsewhere"]), 0.0)
+    one.used_by(ReportSubscription("b", ["w", "elsewhere"]), 0.0)
     assert one.users("w") == ["b"] and one.users("elsewhere") == []
     one.using([], 2_500.0)
     assert one.users("w") == []
--- a/tests/fleet/test_shared.py
+++ b/tests/fleet/test_shared.py
@@ -16,7 +16,18 @@
 
 from molespur.fleet import wire
 from molespur.fleet.crdt import Stamp
-from molespur.fleet.sharing import Ask, Lend, Loan, Said, Seen, Spread, Tell, TicketAsk, TicketSay, Wish
+from molespur.fleet.sharing import (
+    EvidenceReport,
+    Loan,
+    LoanReply,
+    LoanRequest,
+    RegisterUpdate,
+    RequestCounts,
+    Shortfall,
+    StateGossip,
+    TicketReply,
+    TicketRequest,
+)
 from molespur.standins.fleet_load import FleetLoad, FleetWorker
 from molespur.standins.members import GOSSIP_PORT, SETTINGS, SHARED, Members, ask
 
@@ -89,11 +100,13 @@
 
 def nonsense(host):
     """Messages of shared state that make no sense, and cut ones, at a member's gossip port."""
-    bits, far = b"\xff" * 32, Said("w0", Stamp(2**60, 0, "m3"), b"bad", 0.0)
+    bits, far = b"\xff" * 32, RegisterUpdate("w0", Stamp(2**60, 0, "m3"), b"bad", 0.0)
     messages = [
-        TicketAsk(9, "m4", 1, 7, bits), TicketSay(9999, "m1", 1, bits), TicketSay(1, "nobody", 1, bits),
-        Ask(9, "m4", 1, 7, [Wish("cold/w0", 1.0)]), Lend(9999, "m1", 1, [Loan("cold/w0", 1.0, 1e9)]),
-        Tell(9, "m4", 1, [Seen("w0", 1, 5)]), Spread("m3", 1e13, [far]),
+        TicketRequest(9, "m4", 1, 7, bits),
+        TicketReply(9999, "m1", 1, bits), TicketReply(1, "nobody", 1, bits),
+        LoanRequest(9, "m4", 1, 7, [Shortfall("cold/w0", 1.0)]),
+        LoanReply(9999, "m1", 1, [Loan("cold/w0", 1.0, 1e9)]),
+        EvidenceReport(9, "m4", 1, [RequestCounts("w0", 1, 5)]), StateGossip("m3", 1e13, [far]),
     ]  # fmt: skip
     data = [wire.encode("molespur", message) for message in messages]
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
--- a/tests/fleet/test_state.py
+++ b/tests/fleet/test_state.py
@@ -12,7 +12,17 @@
 from molespur.fleet.evidence import Evidence, Own
 from molespur.fleet.judgements import BAD, Judgements
 from molespur.fleet.rendezvous import Spread, pick
-from molespur.fleet.sharing import Ask, Kind, Lend, Loan, Seen, Share, TicketAsk, TicketSay, Wish
+from molespur.fleet.sharing import (
+    Kind,
+    Loan,
+    LoanReply,
+    LoanRequest,
+    RequestCounts,
+    Share,
+    Shortfall,
+    TicketReply,
+    TicketRequest,
+)
 from molespur.fleet.tickets import Holder, Witness, from_bits, to_bits
 from molespur.standins.virtual_state import VirtualState
 
@@ -84,7 +94,7 @@
 
 
 def asking(member, life, seq, *tickets):
-    return TicketAsk(seq, member, life, THREE.mark, to_bits(tickets))
+    return TicketRequest(seq, member, life, THREE.mark, to_bits(tickets))
 
 
 def test_a_witness_lends_a_ticket_to_one_life_until_its_time_and_grace_are_over():
@@ -118,14 +128,14 @@
     assert len(holder.owned(201.0)) == 1, "what fell to another is let go"
     again = Holder("a", 2, share)
     first = again.ask({3}, 10_000.0)
-    says = [TicketSay(first.seq, w, 2, first.tickets) for w in share.witnesses]
+    says = [TicketReply(first.seq, w, 2, first.tickets) for w in share.witnesses]
     again.ask(set(), 10_100.0)
     again.ask({3}, 10_200.0)
     for say in says:
         assert again.said(say)
     assert again.owned(10_300.0) == [], "a yes from before it was let go tells nothing of now"
     for seq, witness, life in ((9, "x", 2), (3, "q", 2), (3, "x", 1)):
-        assert not again.said(TicketSay(seq, witness, life, first.tickets))
+        assert not again.said(TicketReply(seq, witness, life, first.tickets))
 
 
 # -- Loans, by hand --------------------------------------------------------------------------------
@@ -138,7 +148,7 @@
 
 
 def wish(lack, seq=1, src="b", life=1):
-    return Ask(seq, src, life, THREE.mark, [Wish("cold/w", lack)])
+    return LoanRequest(seq, src, life, THREE.mark, [Shortfall("cold/w", lack)])
 
 
 UNIT = THREE.ticket_of(100.0)
@@ -153,7 +163,7 @@
         ("idle", [wish(500.0, 2), wish(500.0, 1)], [4 * UNIT, None]),  # late
         ("idle", [wish(500.0), wish(500.0, src="c")], [4 * UNIT, None]),  # it has lent all
         ("busy", [wish(500.0)], [4 * UNIT - (1.25 * 20 - THREE.floor_of(100.0))]),  # keeps what it spends
-        ("idle", [Ask(1, "b", 1, THREE.mark, [Wish("nothing/w", 1.0)])], [None]),
+        ("idle", [LoanRequest(1, "b", 1, THREE.mark, [Shortfall("nothing/w", 1.0)])], [None]),
     ],
 )
 def test_what_is_lent(lender, asks, amounts):
@@ -178,12 +188,12 @@
     assert lender.available("cold/w", back - 1) == before - amount
     assert lender.available("cold/w", back) == before
     for bad in (
-        Lend(ask.seq, "c", 1, lend.loans),  # not whom we asked
-        Lend(ask.seq, "a", 2, lend.loans),  # asked by another life of ours
-        Lend(99, "a", 1, lend.loans),
+        LoanReply(ask.seq, "c", 1, lend.loans),  # not whom we asked
+        LoanReply(ask.seq, "a", 2, lend.loans),  # asked by another life of ours
+        LoanReply(99, "a", 1, lend.loans),
     ):
         assert not borrower.lent_to_us(bad, 90.0)
-    assert borrower.lent_to_us(Lend(ask.seq, "a", 1, [Loan("cold/w", 1e6, 9e9)]), 90.0)
+    assert borrower.lent_to_us(LoanReply(ask.seq, "a", 1, [Loan("cold/w", 1e6, 9e9)]), 90.0)
     assert borrower.counts["loans_absurd"] == 1 and borrower.counts["loans_not_asked_for"] == 3
 
 
@@ -193,7 +203,7 @@
     for now in (0.0, 1000.0):
         borrower.deny("cold/w", now)
         asks += borrower.renew(now, ["a"])
-    lends = [Lend(ask.seq, "a", 1, [Loan("cold/w", amount, THREE.loan_ms)])
+    lends = [LoanReply(ask.seq, "a", 1, [Loan("cold/w", amount, THREE.loan_ms)])
              for (_, ask), amount in zip(asks, (9.0, 4.0), strict=True)]  # fmt: skip
     for lend in (*lends, lends[0]):
         borrower.lent_to_us(lend, 1100.0)
@@ -383,7 +393,7 @@
 def test_verdicts(told, bad):
     evidence = Evidence(Share(size=20))
     for i, (sent, failed) in enumerate(told):
-        assert evidence.tell(f"m{i}", (1, 1), Seen("w", sent, failed), 0.0) == ""
+        assert evidence.tell(f"m{i}", (1, 1), RequestCounts("w", sent, failed), 0.0) == ""
     assert evidence.verdict("w").bad is bad
     evidence.expire(10_000.0)
     assert not evidence.verdict("w").bad and not evidence.told, "it ages out"
@@ -393,7 +403,7 @@
 def test_evidence_merges_in_any_order_and_twice(items, rng):
     a, b = Evidence(Share(size=20)), Evidence(Share(size=20))
     once = {(member, order): failed for member, order, failed in items}
-    items = [(member, order, Seen("w", 9, failed)) for (member, order), failed in once.items()]
+    items = [(member, order, RequestCounts("w", 9, failed)) for (member, order), failed in once.items()]
     shuffled = items * 2
     rng.shuffle(shuffled)
     for store, line in ((a, items), (b, shuffled)):
@@ -405,13 +415,13 @@
 def test_evidence_is_refused_by_reason_and_bounded():
     share = Share(size=4, most_workers=10)
     store, own = Evidence(share), Own(share)
-    assert store.tell("a", (1, 1), Seen("w", 1, 5), 0.0) == "absurd"
+    assert store.tell("a", (1, 1), RequestCounts("w", 1, 5), 0.0) == "absurd"
     for n in range(50):
-        store.tell(f"m{n}", (1, 1), Seen("w", 1, 1), 0.0)
-        store.tell("a", (1, n), Seen(f"v{n}", 1, 1), 0.0)
+        store.tell(f"m{n}", (1, 1), RequestCounts("w", 1, 1), 0.0)
+        store.tell("a", (1, n), RequestCounts(f"v{n}", 1, 1), 0.0)
         own.saw(f"v{n}", True, 0.0)
     assert len(store.told) == 10 and len(store.told["w"]) == 32 and len(own.window(0.0)) == 10
-    assert store.tell("m0", (1, 1), Seen("w", 1, 1), 0.0) == "old"
+    assert store.tell("m0", (1, 1), RequestCounts("w", 1, 1), 0.0) == "old"
 
 
 def test_judgements_end_with_their_age_and_clocks_that_are_off_do_no_harm():
@@ -474,7 +484,7 @@
 def test_shared_messages_survive_the_wire_and_foreign_ones_are_refused():
     ask = asking("a", 1, 1, 0, 7)
     assert wire.decode(wire.encode("c", ask), "c", 1400) == (ask, "")
-    assert wire.decode(wire.encode("c", Wish("x" * 97, 1.0)), "c", 1400)[1] == "malformed"
-    many = Ask(1, "a", 1, 1, [Wish("cold/w", 1.0)] * 65)
+    assert wire.decode(wire.encode("c", Shortfall("x" * 97, 1.0)), "c", 1400)[1] == "malformed"
+    many = LoanRequest(1, "a", 1, 1, [Shortfall("cold/w", 1.0)] * 65)
     assert wire.decode(wire.encode("c", many), "c", 4000)[1] == "malformed"
     assert wire.decode_whole(b"\x93\x01")[1] == "malformed" and wire.decode_whole(b"\xc0") == (None, "")
