--- a/benchmarks/fleet_state.py
+++ b/benchmarks/fleet_state.py
@@ -171,7 +171,7 @@
                 event = io.AttemptEnded(request, attempt, outcome, now - sent, not failed)
                 self.act(i, now, self.made[i].handle(now, event))
                 if self.share:
-                    self.state.tell(i, shared.Ended(worker, failed))
+                    self.state.tell(i, shared.RequestEnded(worker, failed))
             self.state.run(now + self.STEP_MS)
             if self.share and int(now / 100) != int((now + self.STEP_MS) / 100):
                 for i, one in enumerate(self.made):
@@ -190,8 +190,10 @@
         found[name + "_first"] = statistics.mean(first)
         found[name + "_wrong"] = sum(len(play.wrong) for play in plays)
         if share:
-            judged = [min((t for t, _, a in play.state.notes if isinstance(a, shared.Judged)), default=1e9)
-                      for play in plays]  # fmt: skip
+            judged = [
+                min((t for t, _, a in play.state.notes if isinstance(a, shared.WorkerJudgedBad)), default=1e9)
+                for play in plays
+            ]
             found["judged_s"] = statistics.mean(t - 10_000 for t in judged) / 1000
     return found
 
--- a/molespur/fleet/shared.py
+++ b/molespur/fleet/shared.py
@@ -2,7 +2,7 @@
 
 Joins tickets, loans, evidence, judgements and counts (each a part of its own) and decides what is sent when.
 Time is the `now` of each call, in milliseconds; `unix_ms` is the system's clock, which serves the order of
-judgements alone.  Who lives comes from the fleet view as `View`.
+judgements alone.  Who lives comes from the fleet view as `MembersChanged`.
 """
 
 import random
@@ -57,28 +57,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class View:
+class MembersChanged:
     """Who lives by the fleet view (ids to addresses), ourselves not among them."""
 
     alive: dict[str, Address]
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class StateReceived:
     """A message of shared state."""
 
     message: StateMessage
 
 
 @dataclass(frozen=True, slots=True)
-class Carried:
+class SnapshotReceived:
     """What rode on a push-pull."""
 
     whole: StateSnapshot
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class RequestEnded:
     """An upstream request of ours to a worker ended, and whether that speaks against it."""
 
     worker: str
@@ -86,14 +86,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Workers:
+class WorkersListed:
     """The workers that are listed."""
 
     listed: frozenset[str]
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
+class ReportProbed:
     """A probe of ours brought a worker's report."""
 
     worker: str
@@ -109,7 +109,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Judged:
+class WorkerJudgedBad:
     """A worker is bad for the fleet from now on, by whom, and on what (None: it came from another)."""
 
     worker: str
@@ -118,14 +118,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lifted:
+class JudgementExpired:
     """A judgement is over."""
 
     worker: str
 
 
 @dataclass(frozen=True, slots=True)
-class Owned:
+class TicketsChanged:
     """How many tickets we own has changed."""
 
     before: int
@@ -133,7 +133,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Learnt:
+class ReportReceived:
     """Another's probe brought a worker's report."""
 
     worker: str
@@ -141,7 +141,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shed:
+class SheddingChanged:
     """What all schedulers turn away has changed: of each class the part, by whom."""
 
     parts: tuple[float, ...]
@@ -149,7 +149,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
+class StateRefused:
     """State of a member is not taken, and why."""
 
     member: str
@@ -215,22 +215,22 @@
     def handle(self, now: float, unix_ms: float, event) -> list:
         """Take one event; what it leads to."""
         self._out = []
-        if isinstance(event, Ended):
+        if isinstance(event, RequestEnded):
             if not self.own.saw(event.worker, event.failed, now):
                 self.counts["evidence_no_room"] += 1
-        elif isinstance(event, Heard):
+        elif isinstance(event, StateReceived):
             self._heard(now, unix_ms, event.message)
-        elif isinstance(event, Carried):
+        elif isinstance(event, SnapshotReceived):
             for said in event.whole.said:
                 self._hear(said, now, unix_ms)
             for row in event.whole.rows:
                 self._take_row(row, now)
-        elif isinstance(event, View):
+        elif isinstance(event, MembersChanged):
             self._view(event.alive)
-        elif isinstance(event, Workers):
+        elif isinstance(event, WorkersListed):
             if self.watching is not None:
                 self.watching.listed(event.listed)
-        elif isinstance(event, Probed):
+        elif isinstance(event, ReportProbed):
             if self.watching is not None:
                 self.watching.probed(event.worker, event.fields)
         else:
@@ -301,7 +301,7 @@
                 self.watching.used_by(message, now)
         elif isinstance(message, WorkerReports):
             self.counts["reports_taken"] += len(message.reports)
-            self._out += [Learnt(one.worker, one.fields) for one in message.reports]
+            self._out += [ReportReceived(one.worker, one.fields) for one in message.reports]
         elif isinstance(message, FleetLoadReport):
             order = (message.life, message.seq)
             if not self.judge.take(message.src, order, now, message.span_ms, message.loads):
@@ -320,7 +320,7 @@
             if len(self._named) >= NAMED_MOST:
                 self._named.clear()
             self._named[member, why] = now
-            self._out.append(Refused(member, why))
+            self._out.append(StateRefused(member, why))
 
     def _ticket_ask(self, now: float, ask: TicketRequest) -> None:
         if self.witness is None or ask.mark != self.share.mark:
@@ -376,7 +376,7 @@
     def _note_owned(self, now: float) -> None:
         owned = len(self.holder.owned(now))
         if owned != self._owned:
-            self._out.append(Owned(self._owned, owned))
+            self._out.append(TicketsChanged(self._owned, owned))
             self._owned = owned
 
     def _tell(self, now: float, unix_ms: float) -> None:
@@ -384,7 +384,7 @@
         for worker in self.judgements.expire(now):
             if worker in self._bad:
                 self._bad.discard(worker)
-                self._out.append(Lifted(worker))
+                self._out.append(JudgementExpired(worker))
         self.evidence.expire(now)
         asked = self.judgements.having(ASK, now)
         window = self.own.window(now)
@@ -439,9 +439,9 @@
             # guards against the same evidence speaking against a worker twice, after its judgement is over
             self.evidence.told.pop(worker, None)
             self.own.forget(worker)
-            self._out.append(Judged(worker, by, verdict))
+            self._out.append(WorkerJudgedBad(worker, by, verdict))
         for worker in sorted(self._bad - bad):
-            self._out.append(Lifted(worker))
+            self._out.append(JudgementExpired(worker))
         self._bad = bad
 
     def _count(self, now: float, unix_ms: float) -> None:
@@ -505,7 +505,7 @@
             self._queue_up("said", SHED, self.judgements.write(SHED, to_bytes(parts), now, unix_ms))
         now_shed = self.shed(now)
         if now_shed != self._parts and (any(now_shed) or any(self._parts)):
-            self._out.append(Shed(now_shed, said.stamp.member if said else self.me))
+            self._out.append(SheddingChanged(now_shed, said.stamp.member if said else self.me))
         self._parts = now_shed
 
     def _send(self, member: str, message: StateMessage) -> None:
--- a/molespur/fleet/state.py
+++ b/molespur/fleet/state.py
@@ -13,17 +13,17 @@
 from .gossip import Link
 from .model import Address, State
 from .shared import (
-    Carried,
-    Heard,
-    Judged,
-    Learnt,
-    Lifted,
-    Owned,
-    Refused,
+    JudgementExpired,
+    MembersChanged,
+    ReportReceived,
     Shared,
-    Shed,
+    SheddingChanged,
+    SnapshotReceived,
+    StateReceived,
+    StateRefused,
     Tick,
-    View,
+    TicketsChanged,
+    WorkerJudgedBad,
     load_report,
     report,
 )
@@ -69,7 +69,7 @@
         alive = {m.id: m.address for m in self.membership.members.values() if m.state <= State.SUSPECT}
         if alive != self._viewed:
             self._viewed = alive
-            self._tell(View(alive))
+            self._tell(MembersChanged(alive))
         for name, count in self.uses.counted().items():
             self.machine.totals.add(name, count)
         self._tell(Tick())
@@ -80,28 +80,28 @@
             self._hold()  # guards against spending what has just been lent
 
     def _shared(self, message: StateMessage) -> None:
-        self._tell(Heard(message))
+        self._tell(StateReceived(message))
 
     def _carried(self, exchange) -> None:
         whole, why = wire.decode_whole(exchange.whole)
         if whole is not None:
-            self._tell(Carried(whole))
+            self._tell(SnapshotReceived(whole))
         elif why:
             self.counters["fleet.whole_dropped." + why] += 1
 
     def _do_more(self, action) -> None:
-        if isinstance(action, Judged):
+        if isinstance(action, WorkerJudgedBad):
             about = asdict(action.verdict) if action.verdict else {}  # known to the judge alone
             log.warning("fleet.judged_bad", worker=action.worker, by=action.by, **about)
-        elif isinstance(action, Lifted):
+        elif isinstance(action, JudgementExpired):
             log.info("fleet.judgement_over", worker=action.worker)
-        elif isinstance(action, Owned):
+        elif isinstance(action, TicketsChanged):
             log.info("fleet.tickets", before=action.before, after=action.after)
-        elif isinstance(action, Learnt):
+        elif isinstance(action, ReportReceived):
             self.uses.learnt(action.worker, action.fields)
-        elif isinstance(action, Shed):
+        elif isinstance(action, SheddingChanged):
             log.warning("fleet.shed", by=action.by, **dict(zip(self.uses.names, action.parts, strict=False)))
-        elif isinstance(action, Refused):
+        elif isinstance(action, StateRefused):
             log.warning("fleet.state_refused", member=action.member, why=action.why)
 
     # -- Between the machine and the program -----------------------------------------------------
--- a/molespur/fleet/uses.py
+++ b/molespur/fleet/uses.py
@@ -16,7 +16,7 @@
 from ..net.counters import Counters
 from ..net.failure import Served
 from .concurrency import Gradient
-from .shared import Ended, Probed, Shared, Workers
+from .shared import ReportProbed, RequestEnded, Shared, WorkersListed
 from .sharing import Kind
 from .shedding import Load
 
@@ -157,7 +157,7 @@
         if self.cluster.placed.keys() != self._listed:
             self._listed = frozenset(self.cluster.placed)
             self._limits = {uid: one for uid, one in self._limits.items() if uid in self._listed}
-            self.tell(Workers(self._listed))
+            self.tell(WorkersListed(self._listed))
 
     def _retries(self, now: float) -> float:
         retries, failing, self._failing = self.machine.retries, self._failing, False
@@ -208,14 +208,14 @@
         if outcome is Outcome.OK:
             if CONNECTIONS in self.machine.share.kinds:
                 self._limit(worker).sample(elapsed_ms, self.upstream.open_to(worker))
-            self.tell(Ended(worker, self.usual.too_slow(job_class, elapsed_ms)))
+            self.tell(RequestEnded(worker, self.usual.too_slow(job_class, elapsed_ms)))
             return
         self._failing = True
         if outcome in AGAINST:
-            self.tell(Ended(worker, True))
+            self.tell(RequestEnded(worker, True))
 
     def _probed(self, worker: str, report: dict[str, float]) -> None:
-        self.tell(Probed(worker, report))
+        self.tell(ReportProbed(worker, report))
 
     def _draw(self, job: str) -> float:
         """The same for a job at every scheduler, where its client names it."""
--- a/molespur/standins/virtual_site.py
+++ b/molespur/standins/virtual_site.py
@@ -278,7 +278,7 @@
         super().__init__(n, workers, **more)
         self.state.loads = self._take_loads
         for i in range(n):
-            self.state.tell(i, shared.Workers(frozenset(self.workers)))
+            self.state.tell(i, shared.WorkersListed(frozenset(self.workers)))
         self._step()
 
     def _step(self) -> None:
@@ -310,7 +310,7 @@
                 for c in self.settings.classes]  # fmt: skip
 
     def _note(self, i: int, action) -> None:
-        if isinstance(action, shared.Learnt):
+        if isinstance(action, shared.ReportReceived):
             self.learnt += 1
             self.at(self.now, self.tell, i, io.ProbeEnded(action.worker, Outcome.OK, 0.0, action.fields))
 
@@ -323,10 +323,10 @@
         if outcome is not Outcome.OK:
             self.failing[i] = True
         if outcome in (Outcome.OK, Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.TIMEOUT):
-            self.state.tell(i, shared.Ended(worker, outcome is not Outcome.OK))
+            self.state.tell(i, shared.RequestEnded(worker, outcome is not Outcome.OK))
 
     def probed(self, i: int, worker: str, report: dict[str, float]) -> None:
-        self.state.tell(i, shared.Probed(worker, report))
+        self.state.tell(i, shared.ReportProbed(worker, report))
 
     def answered(self, i: int, job: Job, end: str, took_ms: float) -> None:
         parts = dict(zip((c.name for c in self.settings.classes),
--- a/molespur/standins/virtual_state.py
+++ b/molespur/standins/virtual_state.py
@@ -70,7 +70,7 @@
         self.shared[i] = None
 
     def tell(self, i: int, event) -> None:
-        """Give member i's shared state an event, such as `shared.Ended`."""
+        """Give member i's shared state an event, such as `shared.RequestEnded`."""
         self._act(i, self.shared[i].handle(self.clock(i), self.unix(i), event))
 
     # -- Time --------------------------------------------------------------------------------------
@@ -80,28 +80,34 @@
         if i in self._changed:
             self._changed.discard(i)
             alive = (m for m in self.members[i].members.values() if m.state <= State.SUSPECT)
-            self.tell(i, shared.View({m.id: m.address for m in alive}))
+            self.tell(i, shared.MembersChanged({m.id: m.address for m in alive}))
         self.tell(i, shared.Tick())
         for name, wanted in self.demand(i, self.now).items():
             self._spend(i, name, wanted)
 
     def _take(self, i: int, message) -> None:
         if isinstance(message, StateMessage):
-            self.tell(i, shared.Heard(message))
+            self.tell(i, shared.StateReceived(message))
         else:
             super()._take(i, message)
 
     def _carried(self, i: int, exchange) -> None:
         whole, _ = wire.decode_whole(exchange.whole)
         if whole is not None:
-            self.tell(i, shared.Carried(whole))
+            self.tell(i, shared.SnapshotReceived(whole))
 
     def _act(self, i: int, actions: list) -> None:
         super()._act(i, actions)
         for action in actions:
             if isinstance(action, Changed):
                 self._changed.add(i)
-            if isinstance(action, shared.Judged | shared.Lifted | shared.Owned | shared.Shed):
+            if isinstance(
+                action,
+                shared.WorkerJudgedBad
+                | shared.JudgementExpired
+                | shared.TicketsChanged
+                | shared.SheddingChanged,
+            ):
                 self.notes.append((self.now, i, action))
             self.on_note(i, action)
 
--- a/tests/fleet/test_state.py
+++ b/tests/fleet/test_state.py
@@ -441,7 +441,7 @@
 
 
 def judged(made):
-    return [(at, i, a) for at, i, a in made.notes if isinstance(a, shared.Judged)]
+    return [(at, i, a) for at, i, a in made.notes if isinstance(a, shared.WorkerJudgedBad)]
 
 
 @pytest.mark.parametrize("off", [0.0, 10_000.0])
@@ -458,14 +458,14 @@
                 worker = rng.choice(["w0", "w1", "w2"])
                 failed = worker == "w0" or (worker == "w1" and i == 5)
                 met[worker] = met.get(worker, 0) + 1
-                made.tell(i, shared.Ended(worker, failed))
+                made.tell(i, shared.RequestEnded(worker, failed))
     made.run(made.now + 1_500)
     assert all(x.bad(made.clock(i)) == {"w0"} for i, x in enumerate(made.shared))
     assert met["w0"] < 30, "where each of nine alone would need three of its own"
     assert {a.worker for _, _, a in judged(made)} == {"w0"}
     made.run(made.now + 12_000)
     assert not any(x.bad(made.clock(i)) for i, x in enumerate(made.shared)), "it ages out"
-    assert any(isinstance(a, shared.Lifted) for _, _, a in made.notes)
+    assert any(isinstance(a, shared.JudgementExpired) for _, _, a in made.notes)
 
 
 def test_counts_reach_all_and_memory_and_datagrams_stay_bounded():
@@ -474,7 +474,7 @@
         one.totals.add("sent", i)
         for n in range(100):
             one.totals.add(f"c{n}")
-            made.tell(i, shared.Ended(f"x{n}", True))
+            made.tell(i, shared.RequestEnded(f"x{n}", True))
     made.run(made.now + 40_000)
     assert [one.totals.total("sent") for one in made.shared] == [36] * 9
     assert all(len(one.totals.names()) == 32 for one in made.shared)
