--- a/molespur/fleet/shared.py
+++ b/molespur/fleet/shared.py
@@ -163,7 +163,7 @@
         self.left, self.size = left, size
 
 
-class Shared:
+class SharedState:
     """One member's shared state.
 
     `handle(now, unix_ms, event) -> actions`.  `used(budget, now)` tells what we have spent of a budget within
@@ -518,17 +518,17 @@
 
 
 CHORES = {
-    "renew": Shared._renew,
-    "tell": Shared._tell,
-    "counts": Shared._count,
-    "spread": Shared._spread,
-    "using": Shared._using,
-    "reports": Shared._report,
-    "load": Shared._load,
+    "renew": SharedState._renew,
+    "tell": SharedState._tell,
+    "counts": SharedState._count,
+    "spread": SharedState._spread,
+    "using": SharedState._using,
+    "reports": SharedState._report,
+    "load": SharedState._load,
 }
 
 
-def report(one: Shared, now: float) -> list[str]:
+def report(one: SharedState, now: float) -> list[str]:
     """What one member knows of shared state, as lines of words:
 
     `budget NAME BOUND MAY SPENT LENT BORROWED`, `lent NAME TO AMOUNT`, `borrowed NAME FROM AMOUNT` (amounts
@@ -558,7 +558,7 @@
     return lines
 
 
-def load_report(one: Shared, now: float, names: list[str]) -> list[str]:
+def load_report(one: SharedState, now: float, names: list[str]) -> list[str]:
     """What one member knows of the fleet's load, as lines of words:
 
     `shed CLASS PART`, `judge MEMBER RANK`, `pace JOBS_PER_S` (at the acting judge, in a crowd),
--- a/molespur/fleet/state.py
+++ b/molespur/fleet/state.py
@@ -1,4 +1,4 @@
-"""The fleet's seam with shared state: `gossip.Link`, and beside the view what `shared.Shared` says.
+"""The fleet's seam with shared state: `gossip.Link`, and beside the view what `shared.SharedState` says.
 
 It holds no rule of its own: it brings messages and what became of upstream requests to the pure machine,
 carries out what that says, and holds the program to its budgets (`uses.Uses`) at each tick, and at once
@@ -16,7 +16,7 @@
     JudgementExpired,
     MembersChanged,
     ReportReceived,
-    Shared,
+    SharedState,
     SheddingChanged,
     SnapshotReceived,
     StateReceived,
@@ -36,7 +36,7 @@
 class StateLink(Link):
     """One member on the network that shares state; `share` joins it before `open`."""
 
-    def share(self, machine: Shared, uses: Uses, adapts: bool) -> None:
+    def share(self, machine: SharedState, uses: Uses, adapts: bool) -> None:
         """Share state by this pure machine, for these uses; `adapts`: limits follow the service time."""
         self.machine, self.uses = machine, uses
         self._viewed: dict[str, Address] | None = None  # who lives, as the machine was told
--- a/molespur/fleet/uses.py
+++ b/molespur/fleet/uses.py
@@ -1,8 +1,9 @@
 """Between the program's parts and the shared state: what is spent, what was seen, what may be sent.
 
-The program's side of `shared.Shared`: it tells what this scheduler has spent of each budget, holds the module
-and the upstream side to what may be spent, and tells what became of upstream requests.  Budgets are
-`cold/<worker>`, as parts of all that a cold worker may be sent (1 is all), and `conn/<worker>`, connections.
+The program's side of `shared.SharedState`: reports what this scheduler has spent of each budget, limits the
+decision module and the upstream side to what may be spent, and reports how upstream requests ended.  Budgets
+are `cold/<worker>`, as fractions of all that a cold worker may be sent (1 is all), and `conn/<worker>`,
+connections.
 """
 
 import statistics
@@ -16,7 +17,7 @@
 from ..net.counters import Counters
 from ..net.failure import Served
 from .concurrency import Gradient
-from .shared import ReportProbed, RequestEnded, Shared, WorkersListed
+from .shared import ReportProbed, RequestEnded, SharedState, WorkersListed
 from .sharing import Kind
 from .shedding import Load
 
@@ -81,7 +82,7 @@
     def __init__(self, host, upstream, cluster, clock, counters: Counters, slow_multiple: float, rng: Random):
         self.host, self.upstream, self.cluster, self.clock = host, upstream, cluster, clock
         self.counters, self.usual, self.rng = counters, Usual(slow_multiple), rng
-        self.machine: Shared | None = None
+        self.machine: SharedState | None = None
         self.names = [c.name for c in host.settings.classes]  # as shares of load shed are told, by number
         self._cold: dict[str, tuple[float, bool]] = {}  # worker -> its part as sent, and sent to since then
         self._told = SharedNews()
@@ -91,7 +92,9 @@
         self._failing = False  # an upstream request has failed since the last look: a retry may be wanted
         self._listed: frozenset[str] = frozenset()
 
-    def connect(self, machine: Shared, tell: Callable, freshen: Callable[[], None], adapts: bool) -> None:
+    def connect(
+        self, machine: SharedState, tell: Callable, freshen: Callable[[], None], adapts: bool
+    ) -> None:
         """Join both sides, and take the program's hooks."""
         self.machine, self.tell, share, host = machine, tell, machine.share, self.host
         self.fresh_ms, self.adapts = share.margin_ms / 2, adapts
--- a/molespur/scheduler.py
+++ b/molespur/scheduler.py
@@ -189,7 +189,7 @@
         """A link that shares state too.  Without `[shared]` nothing of this is imported."""
         import time
 
-        from .fleet.shared import Shared
+        from .fleet.shared import SharedState
         from .fleet.state import StateLink
         from .fleet.uses import Uses, kinds
 
@@ -199,7 +199,7 @@
         share = part.share(kinds(settings, part.connections, part.cold), settings)
         me, life, most = link.membership.me, int(time.time() * 1000), link.tuning.datagram_most
         now, name = self.clock.now(), self.fleet_part.cluster
-        machine = Shared(me, life, share, name, rng, uses.used, now, most, uses.loads)
+        machine = SharedState(me, life, share, name, rng, uses.used, now, most, uses.loads)
         link.share(machine, uses, part.adapts)
         return link
 
--- a/molespur/standins/virtual_site.py
+++ b/molespur/standins/virtual_site.py
@@ -289,7 +289,7 @@
                     self.tell(i, self.news(i, one, self.state.clock(i)))
         self.at(self.now + self.STEP_MS, self._step)
 
-    def news(self, i: int, one: shared.Shared, now: float) -> io.SharedNews:
+    def news(self, i: int, one: shared.SharedState, now: float) -> io.SharedNews:
         """What scheduler i's shared state tells its module."""
         retries = float("inf")
         if one.retries is not None:
--- a/molespur/standins/virtual_state.py
+++ b/molespur/standins/virtual_state.py
@@ -1,6 +1,6 @@
 """Many members that share state, in virtual time on the fleet view's network: deterministic from one seed.
 
-Each member's `Shared` goes by its own clock, which may be ahead, behind, or run faster.  Members spend
+Each member's `SharedState` goes by its own clock, which may be ahead, behind, or run faster.  Members spend
 budgets as told by `demand`: in each tick a member tries to spend so much, and may as far as its budget allows
 within the window.  What all have spent within any window is kept, and can be held against the bound.
 """
@@ -29,12 +29,12 @@
 
 
 class VirtualState(VirtualFleet):
-    """A fleet of `Shared` members; member i's clock shows `now * rate[i] + offset[i]`."""
+    """A fleet of `SharedState` members; member i's clock shows `now * rate[i] + offset[i]`."""
 
     def __init__(self, n: int, share: Share, tuning: Tuning | None = None, seed: int = 1):
         super().__init__(n, tuning, seed)
         self.share = share
-        self.shared: list[shared.Shared | None] = [None] * n
+        self.shared: list[shared.SharedState | None] = [None] * n
         self.offset, self.rate, self.unix_off = [0.0] * n, [1.0] * n, [0.0] * n
         self.spenders: list[dict[str, Spender]] = [{} for _ in range(n)]
         self.spent: dict[str, deque] = {}  # budget -> (when, amount, member), within its window
@@ -57,7 +57,7 @@
     def start(self, i: int, seeds: tuple[int, ...] = (0,)) -> None:
         life = int(1_000_000 + self.now) + self._lives[i] + 1
         self.spenders[i] = {}
-        self.shared[i] = shared.Shared(
+        self.shared[i] = shared.SharedState(
             f"m{i}", life, self.share, "v", random.Random(self.rng.random()),
             lambda name, now, i=i: self._used(i, name, now), self.clock(i),
             loads=lambda i=i: self.loads(i),
