--- a/benchmarks/fleet_overload.py
+++ b/benchmarks/fleet_overload.py
@@ -27,7 +27,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-from molespur.fleet.sharing import Share
+from molespur.fleet.sharing import SharingConfig
 from molespur.standins.fleet_load import Clients, FleetLoad, FleetWorker
 from molespur.standins.members import SETTINGS, Members, ask
 from molespur.standins.virtual_site import CLASSES, SHARES, FleetSite, Site
@@ -45,7 +45,7 @@
     more = {"seed": seed, "patient": patient, "may_probe": True}
     if way == "alone":
         return Site(n, workers, **more)
-    share = Share(size=n, retry_ratio=0.1, retry_floor=2.0, watchers=2, priorities=(0, 1))
+    share = SharingConfig(size=n, retry_ratio=0.1, retry_floor=2.0, watchers=2, priorities=(0, 1))
     return FleetSite(n, workers, share, **more)
 
 
--- a/benchmarks/fleet_state.py
+++ b/benchmarks/fleet_state.py
@@ -31,7 +31,14 @@
 from molespur.fleet import shared
 from molespur.fleet.crdt import Counts, Row
 from molespur.fleet.escrow import Escrow
-from molespur.fleet.sharing import Kind, LoanRequest, Share, Shortfall, TicketRequest, tickets_for
+from molespur.fleet.sharing import (
+    BudgetKind,
+    LoanRequest,
+    SharingConfig,
+    Shortfall,
+    TicketRequest,
+    tickets_for,
+)
 from molespur.fleet.tickets import Witness, to_bits
 from molespur.interface import FleetNews, JobClass, NewsMode, Outcome, WorkerEntry
 from molespur.standins.fleet_load import FleetLoad, FleetWorker
@@ -59,8 +66,8 @@
 
 def fleet(n, hot, seed, kind=VirtualState, each=BOUND, settle=40_000):
     """A fleet in which `hot` members want all of the budget together."""
-    kinds = {"cold": Kind(BOUND, 1000.0)}
-    made = kind(n, Share(witnesses=WITNESSES, size=n, tickets=tickets_for(n), kinds=kinds), seed=seed)
+    kinds = {"cold": BudgetKind(BOUND, 1000.0)}
+    made = kind(n, SharingConfig(witnesses=WITNESSES, size=n, tickets=tickets_for(n), kinds=kinds), seed=seed)
     made.each = each
     made.demand = lambda i, now: {"cold/w": WANTED / hot} if i % (n // hot) == 0 else {}
     begin(made)
@@ -127,7 +134,7 @@
         self.n, self.rng, self.share = n, random.Random(seed), share
         settings = Settings(classes=(JobClass("lookup", 400.0, 3000.0),), balancers=n, max_attempts=3)
         self.made = [Dispatcher(settings, seed * 1000 + i) for i in range(n)]
-        self.state = VirtualState(n, Share(witnesses=WITNESSES, size=n), seed=seed)
+        self.state = VirtualState(n, SharingConfig(witnesses=WITNESSES, size=n), seed=seed)
         entries = tuple(WorkerEntry(f"w{k}") for k in range(40))
         for i, one in enumerate(self.made):
             self.state.start(i, (0, 1))
@@ -217,7 +224,7 @@
 
 def cpu() -> str:
     """Microseconds of each merge and answer."""
-    share = Share(witnesses=WITNESSES, size=200, kinds={"cold": Kind(BOUND, 1000.0)})
+    share = SharingConfig(witnesses=WITNESSES, size=200, kinds={"cold": BudgetKind(BOUND, 1000.0)})
     rows = [Row(f"m{i}", 1, {f"c{k}": (k * i, 0) for k in range(6)}) for i in range(200)]
     totals = Counts("m0", 1)
     witness = Witness("m0", share.tickets, share.keep_ms, -1e9)
--- a/molespur/config/deployment.py
+++ b/molespur/config/deployment.py
@@ -179,14 +179,16 @@
 
     def share(self, kinds: dict, settings):
         """The pure machine's tuning, for these kinds of budgets and the platform's settings."""
-        from ..fleet.sharing import Share, tickets_for
+        from ..fleet.sharing import SharingConfig, tickets_for
 
-        same = {f: getattr(self, f) for f in self.__struct_fields__ if f in Share.__dataclass_fields__}
+        same = {
+            f: getattr(self, f) for f in self.__struct_fields__ if f in SharingConfig.__dataclass_fields__
+        }
         same |= {"witnesses": tuple(self.witnesses), "size": self.size or settings.balancers, "kinds": kinds}
         same["tickets"] = self.tickets or tickets_for(same["size"])
         same["watchers"] = self.watchers if settings.may_probe else 0
         same["priorities"] = tuple(c.priority for c in settings.classes) if self.sheds else ()
-        return Share(**same)
+        return SharingConfig(**same)
 
 
 class Deployment(_Part):
--- a/molespur/fleet/escrow.py
+++ b/molespur/fleet/escrow.py
@@ -19,7 +19,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from .sharing import ITEMS_MOST, Kind, Loan, LoanReply, LoanRequest, Share, Shortfall
+from .sharing import ITEMS_MOST, BudgetKind, Loan, LoanReply, LoanRequest, SharingConfig, Shortfall
 
 KEEP = 1.25  # a member keeps this multiple of what it spends
 GROW = 2.0  # what a member that was denied wants, of what it may spend
@@ -35,7 +35,7 @@
 class Budget:
     """One budget as one member holds it; amounts are in the budget's own unit."""
 
-    kind: Kind
+    kind: BudgetKind
     target: float = 0.0  # what we want to be able to spend
     denied: bool = False  # something was turned down for it since the last renewal
     touched: float = 0.0  # when it was last asked about here
@@ -57,7 +57,7 @@
         self,
         me: str,
         life: int,
-        share: Share,
+        share: SharingConfig,
         owned: Callable[[float], list[float]],
         used: Callable[[str, float], float],
         rng: random.Random,
--- a/molespur/fleet/evidence.py
+++ b/molespur/fleet/evidence.py
@@ -14,7 +14,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from .sharing import RequestCounts, Share
+from .sharing import RequestCounts, SharingConfig
 
 BUCKETS = 10  # of a window: old counts go by a tenth of it
 LOUD = 20  # requests of one member that count for a volume at most
@@ -31,7 +31,7 @@
 class Own:
     """What this member saw lately, by worker."""
 
-    def __init__(self, share: Share):
+    def __init__(self, share: SharingConfig):
         self.share = share
         self._buckets: deque[tuple[int, dict[str, list[int]]]] = deque()
 
@@ -70,7 +70,7 @@
 class Evidence:
     """What a judge has been told: of each worker, each member's latest counts."""
 
-    def __init__(self, share: Share):
+    def __init__(self, share: SharingConfig):
         self.share = share
         # worker -> member -> ((life, seq), when heard, counts)
         self.told: dict[str, dict[str, tuple[tuple[int, int], float, RequestCounts]]] = {}
--- a/molespur/fleet/retries.py
+++ b/molespur/fleet/retries.py
@@ -10,7 +10,7 @@
 
 from collections import Counter, deque
 
-from .sharing import Share
+from .sharing import SharingConfig
 
 SPARE = 0.5  # of what a member has beyond a fresh second's earnings, given to one that asks
 KEPT_S = 2  # rights of so many seconds are kept at most, so that a calm does not save up for a storm
@@ -20,7 +20,7 @@
 class Retries:
     """One member's side of the budget."""
 
-    def __init__(self, share: Share, now: float):
+    def __init__(self, share: SharingConfig, now: float):
         self.ratio = share.retry_ratio
         self.floor_per_s = share.retry_floor / max(share.size, 1)
         self.rights = 0.0
--- a/molespur/fleet/sharing.py
+++ b/molespur/fleet/sharing.py
@@ -158,7 +158,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class BudgetKind:
     """A kind of budget: its bound at each worker (or for the fleet), and how long after a right to it has run
     out what was spent on it may still weigh (ms): a rate's window, a connection's longest use.
 
@@ -183,7 +183,7 @@
 
 
 @dataclass(frozen=True)
-class Share:
+class SharingConfig:
     """How state is shared; what `mark` covers must be the same at all members.  Milliseconds unless named."""
 
     witnesses: tuple[str, ...] = ()  # ids; without any, each member has its floor alone
@@ -194,7 +194,7 @@
     loan_ms: float = 2_000.0
     renew_ms: float = 1_000.0  # tickets and loans are asked for anew this often
     margin_ms: float = 250.0  # for clocks that run at different rates over a lease
-    kinds: dict[str, Kind] = field(default_factory=dict)  # by the budget's name up to its slash
+    kinds: dict[str, BudgetKind] = field(default_factory=dict)  # by the budget's name up to its slash
     asked_most: int = 8  # members asked for loans at each renewal
     most_budgets: int = 1_024
     spread_ms: float = 200.0  # registers and rows are told on this often
@@ -235,7 +235,7 @@
                 self.margin_ms, kinds)  # fmt: skip
         return zlib.crc32(repr(same).encode())
 
-    def kind_of(self, budget: str) -> Kind | None:
+    def kind_of(self, budget: str) -> BudgetKind | None:
         return self.kinds.get(budget.partition("/")[0])
 
     def floor_of(self, bound: float) -> float:
--- a/molespur/fleet/shedding.py
+++ b/molespur/fleet/shedding.py
@@ -26,7 +26,7 @@
 from math import ceil
 
 from .rendezvous import pick
-from .sharing import Share
+from .sharing import SharingConfig
 
 BAD_HIGH, BAD_LOW = 0.10, 0.05  # of the jobs let in that ended
 FALL, LEAST = 0.95, 0.90  # a fall of the pace, and the least that it may be of what is served
@@ -192,7 +192,7 @@
 class LoadJudge:
     """One member's side of judging the fleet's load, which it does where it is one of the judges."""
 
-    def __init__(self, me: str, share: Share):
+    def __init__(self, me: str, share: SharingConfig):
         self.me, self.share, self.pace = me, share, Pace()
         self.acting = False  # what we say is in force, or will be
         # member -> (its life and telling, when heard, over how long, its loads)
--- a/molespur/fleet/tickets.py
+++ b/molespur/fleet/tickets.py
@@ -14,7 +14,7 @@
 import math
 from collections.abc import Iterable
 
-from .sharing import Share, TicketReply, TicketRequest
+from .sharing import SharingConfig, TicketReply, TicketRequest
 
 MOVE_SHARE = 0.1  # of the tickets held that are let go at once for members that came: the rest works on
 ASKS_KEPT = 8  # own asks whose answers may still come
@@ -71,7 +71,7 @@
 class Holder:
     """One member's side: what it asks the witnesses for, and what it owns by their answers."""
 
-    def __init__(self, me: str, life: int, share: Share):
+    def __init__(self, me: str, life: int, share: SharingConfig):
         self.me, self.life, self.share = me, life, share
         self.moving_at = -math.inf
         self.wanted: set[int] = set()  # asked for in the last ask
--- a/molespur/fleet/uses.py
+++ b/molespur/fleet/uses.py
@@ -18,7 +18,7 @@
 from ..net.failure import Served
 from .concurrency import Gradient
 from .shared import ReportProbed, RequestEnded, SharedState, WorkersListed
-from .sharing import Kind
+from .sharing import BudgetKind
 from .shedding import Load
 
 COLD, CONNECTIONS = "cold", "conn"
@@ -40,17 +40,17 @@
 }
 
 
-def kinds(settings, connections: int, cold: bool) -> dict[str, Kind]:
+def kinds(settings, connections: int, cold: bool) -> dict[str, BudgetKind]:
     """The budgets that are shared: a cold worker's, where the settings have one, and a worker's connections.
 
     A connection may be in use for as long as the longest deadline after the right to it is over.
     """
     found = {}
     if cold and settings.cold_ms and settings.cold_window_ms:
-        found[COLD] = Kind(1.0, settings.cold_window_ms)
+        found[COLD] = BudgetKind(1.0, settings.cold_window_ms)
     if connections:
         longest = max(c.deadline_ms for c in settings.classes)
-        found[CONNECTIONS] = Kind(float(connections), longest, rate=False, unit=1.0)
+        found[CONNECTIONS] = BudgetKind(float(connections), longest, rate=False, unit=1.0)
     return found
 
 
--- a/molespur/fleet/watching.py
+++ b/molespur/fleet/watching.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 
 from .rendezvous import pick
-from .sharing import ITEMS_MOST, ReportSubscription, Share, WorkerReport, WorkerReports
+from .sharing import ITEMS_MOST, ReportSubscription, SharingConfig, WorkerReport, WorkerReports
 
 KEPT = 2.5  # tellings after which a member uses a worker no more
 NAMES_EACH, REPORTS_EACH = ITEMS_MOST // 4, ITEMS_MOST // 8  # in one datagram
@@ -17,7 +17,7 @@
 class Watching:
     """One member's side: the workers that it watches, and who uses them."""
 
-    def __init__(self, me: str, share: Share):
+    def __init__(self, me: str, share: SharingConfig):
         self.me, self.share = me, share
         self.watched: frozenset[str] = frozenset()
         self._listed: frozenset[str] = frozenset()
--- a/molespur/standins/virtual_site.py
+++ b/molespur/standins/virtual_site.py
@@ -13,7 +13,7 @@
 
 from .. import interface as io
 from ..fleet import shared
-from ..fleet.sharing import Share
+from ..fleet.sharing import SharingConfig
 from ..fleet.shedding import Load
 from ..interface import FleetNews, JobClass, NewsMode, Outcome, Settings, WorkerEntry
 from ..logic import Dispatcher
@@ -267,7 +267,7 @@
 
     STEP_MS, REFRESH_MS = 10.0, 50.0
 
-    def __init__(self, n: int, workers: int, share: Share, **more):
+    def __init__(self, n: int, workers: int, share: SharingConfig, **more):
         self.state = VirtualState(n, share, seed=more.get("seed", 1))
         self.share, self._loads = share, [Counter() for _ in range(n)]
         self.failing, self.learnt = [False] * n, 0
--- a/molespur/standins/virtual_state.py
+++ b/molespur/standins/virtual_state.py
@@ -11,7 +11,7 @@
 
 from ..fleet import shared, wire
 from ..fleet.model import State, Tuning
-from ..fleet.sharing import Share, StateMessage
+from ..fleet.sharing import SharingConfig, StateMessage
 from ..fleet.swim import Changed
 from .virtual_fleet import VirtualFleet
 
@@ -31,7 +31,7 @@
 class VirtualState(VirtualFleet):
     """A fleet of `SharedState` members; member i's clock shows `now * rate[i] + offset[i]`."""
 
-    def __init__(self, n: int, share: Share, tuning: Tuning | None = None, seed: int = 1):
+    def __init__(self, n: int, share: SharingConfig, tuning: Tuning | None = None, seed: int = 1):
         super().__init__(n, tuning, seed)
         self.share = share
         self.shared: list[shared.SharedState | None] = [None] * n
--- a/tests/fleet/test_load.py
+++ b/tests/fleet/test_load.py
@@ -7,7 +7,7 @@
 
 from molespur.fleet.concurrency import LEAST, MOST, Gradient
 from molespur.fleet.retries import Retries
-from molespur.fleet.sharing import ReportSubscription, Share
+from molespur.fleet.sharing import ReportSubscription, SharingConfig
 from molespur.fleet.shedding import ACT_MS, LIFE_MS, Load, LoadJudge, Pace, from_bytes, to_bytes
 from molespur.fleet.watching import Watching
 from molespur.standins.virtual_site import FleetSite
@@ -23,7 +23,7 @@
     @initialize(n=st.integers(2, 6))
     def begin(self, n):
         self.n, self.now, self.ask = n, 1_000.0, 0
-        self.share = Share(size=n, retry_ratio=self.RATIO, retry_floor=self.FLOOR)
+        self.share = SharingConfig(size=n, retry_ratio=self.RATIO, retry_floor=self.FLOOR)
         self.members = [Retries(self.share, self.now) for _ in range(n)]
         self.firsts = self.retries = self.restarts = 0
         self.wire: list = []
@@ -75,7 +75,7 @@
 
 
 def test_a_calm_saves_up_for_no_storm_and_one_that_lacks_is_given_to():
-    share = Share(size=2, retry_ratio=0.1, retry_floor=0.0)
+    share = SharingConfig(size=2, retry_ratio=0.1, retry_floor=0.0)
     rich, poor = Retries(share, 0.0), Retries(share, 0.0)
     for ms in range(0, 100_000, 10):  # 100 first attempts a second
         rich.first(float(ms))
@@ -93,7 +93,7 @@
 
 @pytest.mark.parametrize("n", [10, 200])
 def test_each_worker_is_watched_by_two_and_reports_reach_those_that_use_it(n):
-    share, workers = Share(size=n, watchers=2), frozenset(f"w{k}" for k in range(40))
+    share, workers = SharingConfig(size=n, watchers=2), frozenset(f"w{k}" for k in range(40))
     members = {f"m{i}": Watching(f"m{i}", share) for i in range(n)}
     for name, one in members.items():
         one.members(m for m in members if m != name)
@@ -117,7 +117,7 @@
 
 
 def test_users_are_forgotten_and_other_workers_passed_over():
-    one = Watching("a", Share(size=1, watchers=2, using_ms=1000.0))
+    one = Watching("a", SharingConfig(size=1, watchers=2, using_ms=1000.0))
     one.members(["b"])
     one.listed(frozenset({"w"}))
     one.reports()
@@ -188,7 +188,7 @@
 
 
 def test_the_first_judge_acts_and_the_next_where_it_is_silent():
-    share, members = Share(size=5, priorities=(0, 1)), [f"m{i}" for i in range(5)]
+    share, members = SharingConfig(size=5, priorities=(0, 1)), [f"m{i}" for i in range(5)]
     judges = {m: LoadJudge(m, share) for m in members}
     first, second, third = judges["m0"].judges(members)
     for order, now in enumerate(range(0, 4000, 500)):
@@ -241,7 +241,9 @@
 
 
 def test_a_crowd_is_borne_by_the_fleet_and_gone_soon_after():
-    site = FleetSite(6, 6, Share(size=6, retry_ratio=0.1, watchers=2, priorities=(0, 1)), may_probe=True)
+    site = FleetSite(
+        6, 6, SharingConfig(size=6, retry_ratio=0.1, watchers=2, priorities=(0, 1)), may_probe=True
+    )
     site.play(0.7 * site.capacity, 6000.0)
     site.play(3.0 * site.capacity, 8000.0)
     probes, counts = site.counts["probes"], dict(site.counts)
@@ -258,7 +260,7 @@
 
 
 def test_half_the_workers_lost_bring_no_storm_of_retries():
-    share = Share(size=6, retry_ratio=0.1, retry_floor=2.0, watchers=2, priorities=(0, 1))
+    share = SharingConfig(size=6, retry_ratio=0.1, retry_floor=2.0, watchers=2, priorities=(0, 1))
     site = FleetSite(6, 8, share, may_probe=True, seed=3)
     site.play(0.6 * site.capacity, 8000.0)
     counts = dict(site.counts)
--- a/tests/fleet/test_settings.py
+++ b/tests/fleet/test_settings.py
@@ -6,7 +6,7 @@
 from molespur.config import ConfigError
 from molespur.config import deployment as d
 from molespur.fleet.seeds import read_seeds
-from molespur.fleet.sharing import Kind
+from molespur.fleet.sharing import BudgetKind
 from molespur.interface import JobClass
 
 SITE = Settings(classes=(JobClass("a", 1.0, 2.0), JobClass("b", 1.0, 2.0, priority=3)), balancers=200)
@@ -48,12 +48,12 @@
 def test_shared_settings_make_the_share_and_its_mark():
     given = {"shared.witnesses": "a,b,c", "shared.quorum": "5"}
     part = d.read(None, {}, given)[0].shared
-    share = part.share({"conn": Kind(32.0, 3000.0, False, 1.0)}, SITE)
+    share = part.share({"conn": BudgetKind(32.0, 3000.0, False, 1.0)}, SITE)
     assert (share.witnesses, share.size, share.quorum, share.majority) == (("a", "b", "c"), 200, 5, 2)
     assert (share.priorities, share.watchers) == ((0, 3), 0), "nothing is watched where there are no probes"
     assert share.keep_ms == 4000.0 + 250.0 + 3000.0
-    assert share.mark == part.share({"conn": Kind(32.0, 3000.0, False, 1.0)}, SITE).mark
-    assert share.mark != part.share({"conn": Kind(33.0, 3000.0, False, 1.0)}, SITE).mark
+    assert share.mark == part.share({"conn": BudgetKind(32.0, 3000.0, False, 1.0)}, SITE).mark
+    assert share.mark != part.share({"conn": BudgetKind(33.0, 3000.0, False, 1.0)}, SITE).mark
 
 
 def test_seeds_from_a_list_and_a_file(tmp_path):
--- a/tests/fleet/test_state.py
+++ b/tests/fleet/test_state.py
@@ -13,12 +13,12 @@
 from molespur.fleet.judgements import BAD, Judgements
 from molespur.fleet.rendezvous import Spread, pick
 from molespur.fleet.sharing import (
-    Kind,
+    BudgetKind,
     Loan,
     LoanReply,
     LoanRequest,
     RequestCounts,
-    Share,
+    SharingConfig,
     Shortfall,
     TicketReply,
     TicketRequest,
@@ -32,7 +32,7 @@
 stamps = st.builds(Stamp, st.integers(0, 20), st.integers(0, 3), MEMBERS)
 registers = st.builds(Register, stamps, st.one_of(st.none(), st.binary(max_size=2)))
 lww_maps = st.builds(LWWMap, st.dictionaries(st.sampled_from("pqrstu"), registers), st.just(4))
-COLD = {"cold": Kind(100.0, 1000.0)}
+COLD = {"cold": BudgetKind(100.0, 1000.0)}
 
 
 @given(st.one_of(st.tuples(rows, rows, rows), st.tuples(lww_maps, lww_maps, lww_maps)))
@@ -90,7 +90,7 @@
 
 # -- Tickets, by hand ------------------------------------------------------------------------------
 
-THREE = Share(witnesses=("x", "y", "z"), size=4, tickets=8, kinds=COLD)
+THREE = SharingConfig(witnesses=("x", "y", "z"), size=4, tickets=8, kinds=COLD)
 
 
 def asking(member, life, seq, *tickets):
@@ -214,7 +214,7 @@
 
 
 def fleet(n, hot=(), want=150.0, share=None, seed=1, run=12_000):
-    share = share or Share(witnesses=("m0", "m1", "m2"), size=n, kinds=COLD)
+    share = share or SharingConfig(witnesses=("m0", "m1", "m2"), size=n, kinds=COLD)
     made = VirtualState(n, share, seed=seed)
     made.demand = lambda i, now: {"cold/w": want if not hot or i in hot else 0.0}
     for i in range(n):
@@ -276,7 +276,7 @@
 
 
 def test_join_of_twenty_and_departure_of_half_split_anew_without_overspend():
-    made = VirtualState(29, Share(witnesses=("m0", "m1", "m2"), size=29, kinds=COLD), seed=5)
+    made = VirtualState(29, SharingConfig(witnesses=("m0", "m1", "m2"), size=29, kinds=COLD), seed=5)
     made.demand = lambda i, now: {"cold/w": 50.0}
     for i in range(9):
         made.start(i, (0, 1))
@@ -300,7 +300,7 @@
     @initialize(n=st.integers(3, 6), seed=st.integers(0, 999))
     def begin(self, n, seed):
         rng = random.Random(seed)
-        share = Share(witnesses=("m0", "m1", "m2"), size=n, tickets=16, kinds=COLD)
+        share = SharingConfig(witnesses=("m0", "m1", "m2"), size=n, tickets=16, kinds=COLD)
         self.n, self.fleet = n, VirtualState(n, share, seed=seed)
         self.want = [rng.choice([0.0, 20.0, 150.0]) for _ in range(n)]
         self.fleet.demand = lambda i, now: {"cold/w": self.want[i]}
@@ -391,7 +391,7 @@
     ],
 )
 def test_verdicts(told, bad):
-    evidence = Evidence(Share(size=20))
+    evidence = Evidence(SharingConfig(size=20))
     for i, (sent, failed) in enumerate(told):
         assert evidence.tell(f"m{i}", (1, 1), RequestCounts("w", sent, failed), 0.0) == ""
     assert evidence.verdict("w").bad is bad
@@ -401,7 +401,7 @@
 
 @given(st.lists(st.tuples(MEMBERS, st.integers(1, 5), st.integers(0, 9)), max_size=30), st.randoms())
 def test_evidence_merges_in_any_order_and_twice(items, rng):
-    a, b = Evidence(Share(size=20)), Evidence(Share(size=20))
+    a, b = Evidence(SharingConfig(size=20)), Evidence(SharingConfig(size=20))
     once = {(member, order): failed for member, order, failed in items}
     items = [(member, order, RequestCounts("w", 9, failed)) for (member, order), failed in once.items()]
     shuffled = items * 2
@@ -413,7 +413,7 @@
 
 
 def test_evidence_is_refused_by_reason_and_bounded():
-    share = Share(size=4, most_workers=10)
+    share = SharingConfig(size=4, most_workers=10)
     store, own = Evidence(share), Own(share)
     assert store.tell("a", (1, 1), RequestCounts("w", 1, 5), 0.0) == "absurd"
     for n in range(50):
