--- a/benchmarks/fleet_state.py
+++ b/benchmarks/fleet_state.py
@@ -39,7 +39,7 @@
     TicketRequest,
     tickets_for,
 )
-from molespur.fleet.tickets import Witness, to_bits
+from molespur.fleet.tickets import Witness, to_bitmap
 from molespur.interface import FleetNews, JobClass, NewsMode, Outcome, WorkerEntry
 from molespur.standins.fleet_load import FleetLoad, FleetWorker
 from molespur.standins.members import SETTINGS, Members, ask
@@ -227,9 +227,9 @@
     share = SharingConfig(witnesses=WITNESSES, size=200, kinds={"cold": BudgetKind(BOUND, 1000.0)})
     rows = [Row(f"m{i}", 1, {f"c{k}": (k * i, 0) for k in range(6)}) for i in range(200)]
     totals = Counts("m0", 1)
-    witness = Witness("m0", share.tickets, share.keep_ms, -1e9)
+    witness = Witness("m0", share.tickets, share.hold_ms, -1e9)
     escrow = Escrow("m0", 1, share, lambda now: [1e9] * 2, lambda b, now: 0.0, random.Random(1), -1e9)
-    bits, turn = to_bits([3, 9, 77]), [0]
+    bits, turn = to_bitmap([3, 9, 77]), [0]
 
     def seq():
         turn[0] += 1
@@ -238,11 +238,11 @@
     wishes = [Shortfall(f"cold/w{k}", 1.0) for k in range(24)]
     asks = {
         "a row merged": lambda: totals.merge(rows[seq() % 200], 0.0),
-        "tickets asked of a witness (3)": lambda: witness.ask(
-            TicketRequest(seq(), "m9", 1, share.mark, bits), 1.0
+        "tickets asked of a witness (3)": lambda: witness.handle_request(
+            TicketRequest(seq(), "m9", 1, share.fingerprint, bits), 1.0
         ),
-        "loans asked of a lender (24 budgets)": lambda: escrow.asked(
-            LoanRequest(seq(), "m9", 1, share.mark, wishes), 1.0
+        "loans asked of a lender (24 budgets)": lambda: escrow.handle_request(
+            LoanRequest(seq(), "m9", 1, share.fingerprint, wishes), 1.0
         ),
         "what may be spent of a budget": lambda: escrow.available("cold/w1", 1.0),
     }
--- a/molespur/fleet/escrow.py
+++ b/molespur/fleet/escrow.py
@@ -94,11 +94,11 @@
         if budget is None or now < self._started + budget.kind.quiet_ms:
             return 0.0
         own = self.tickets(budget, now) - self.out(budget, now)
-        return self.share.floor_of(budget.kind.bound) + max(0.0, own) + self.held(budget, now)
+        return self.share.floor_amount(budget.kind.bound) + max(0.0, own) + self.held(budget, now)
 
     def tickets(self, budget: Budget, now: float) -> float:
         """What our tickets give of it."""
-        return self.share.ticket_of(budget.kind.bound) * sum(end > now for end in self._owned(now))
+        return self.share.ticket_amount(budget.kind.bound) * sum(end > now for end in self._owned(now))
 
     def out(self, budget: Budget, now: float, but: str = "") -> float:
         """What borrowers (but one) may still hold of ours, or have spent so lately that it weighs."""
@@ -113,7 +113,7 @@
         """What we have been lent."""
         return sum(amount for _, amount, until in budget.borrowed.values() if now < until)
 
-    def deny(self, name: str, now: float) -> None:
+    def record_denial(self, name: str, now: float) -> None:
         """Something was turned down for want of this budget: we want more."""
         if (budget := self.budget(name, now)) is not None:
             budget.denied = True
@@ -121,7 +121,7 @@
 
     # -- Lending ---------------------------------------------------------------------------------
 
-    def asked(self, ask: LoanRequest, now: float) -> LoanReply | None:
+    def handle_request(self, ask: LoanRequest, now: float) -> LoanReply | None:
         """Another lacks: lend what we can spare.  None: nothing, or the ask is old."""
         if self._seen.get(ask.src, (-1, 0)) >= (ask.life, ask.seq):
             self.counts["asks_old"] += 1
@@ -147,11 +147,11 @@
         """What this borrower gets: our spare, in proportion to what all lack that asked lately."""
         budget.asking[borrower] = (wish.lack, now)
         budget.asking = {m: a for m, a in budget.asking.items() if now - a[1] < self.share.loan_ms}
-        unit = self.share.ticket_of(budget.kind.bound)
+        unit = self.share.ticket_amount(budget.kind.bound)
         # a loan may not outlive the tickets that it is made of
         owned = unit * sum(end >= now + self.share.loan_ms for end in self._owned(now))
         wanted = max(budget.target, KEEP * self.spent(wish.budget, now))
-        spare = owned - max(0.0, wanted - self.share.floor_of(budget.kind.bound))
+        spare = owned - max(0.0, wanted - self.share.floor_amount(budget.kind.bound))
         need = sum(lack for lack, _ in budget.asking.values())
         fair = spare * wish.lack / need if need > 0 else 0.0
         amount = min(fair, spare - self.out(budget, now, but=borrower), wish.lack)
@@ -174,7 +174,7 @@
             budget.target = min(max(wanted, SHRINK * budget.target), budget.kind.bound)
             budget.denied = False
             own = max(0.0, self.tickets(budget, now) - self.out(budget, now))
-            lack = budget.target - self.share.floor_of(budget.kind.bound) - own
+            lack = budget.target - self.share.floor_amount(budget.kind.bound) - own
             if lack > LEAST * budget.kind.bound / max(self.share.size, 1):
                 lacks[name] = lack
         return self._asks(lacks, now, others) if lacks else []
@@ -203,15 +203,15 @@
             for member in asked:
                 if (wish := renewed.get(member, 0.0) + more) > 0:
                     self._wish(wishes, member, name, wish)
-        return [(member, self.ask(member, some, now)) for member, some in wishes.items()]
+        return [(member, self.new_request(member, some, now)) for member, some in wishes.items()]
 
-    def ask(self, member: str, wishes: list[Shortfall], now: float) -> LoanRequest:
+    def new_request(self, member: str, wishes: list[Shortfall], now: float) -> LoanRequest:
         """An ask to a member, whose answer is waited for."""
         self._seq += 1
         self._asked[self._seq] = (now, member)
         self._asked.pop(self._seq - ASKS_KEPT, None)
         self.counts["asks"] += 1
-        return LoanRequest(self._seq, self.me, self.life, self.share.mark, wishes)
+        return LoanRequest(self._seq, self.me, self.life, self.share.fingerprint, wishes)
 
     def _wish(self, wishes: dict[str, list[Shortfall]], member: str, name: str, lack: float) -> None:
         if member not in wishes and len(wishes) >= LENDERS * self.share.asked_most:
@@ -220,7 +220,7 @@
         if len(some) < ITEMS_MOST:
             some.append(Shortfall(name, lack))
 
-    def lent_to_us(self, lend: LoanReply, now: float) -> bool:
+    def handle_reply(self, lend: LoanReply, now: float) -> bool:
         """The answer to one of our asks; False where it is none of them, and why is counted."""
         at, whom = self._asked.get(lend.seq, (0.0, ""))
         if lend.life != self.life or whom != lend.src:
--- a/molespur/fleet/retries.py
+++ b/molespur/fleet/retries.py
@@ -66,7 +66,7 @@
             self.counts["retries_overspent"] += 1
         return self._floor >= -1e-9
 
-    def deny(self) -> None:
+    def record_denial(self) -> None:
         """A retry was turned down: ask others at the next renewal."""
         self.denied = True
         self.counts["retries_denied"] += 1
--- a/molespur/fleet/shared.py
+++ b/molespur/fleet/shared.py
@@ -187,7 +187,7 @@
         self.datagram_most = datagram_most
         self.counts: Counter = Counter()
         self.alive: dict[str, Address] = {}
-        self.witness = Witness(me, share.tickets, share.keep_ms, now) if me in share.witnesses else None
+        self.witness = Witness(me, share.tickets, share.hold_ms, now) if me in share.witnesses else None
         self.holder = Holder(me, life, share)
         self.escrow = Escrow(me, life, share, self.holder.owned, used, rng, now)
         self.retries = Retries(share, now) if share.retry_ratio else None
@@ -280,16 +280,16 @@
         elif isinstance(message, TicketRequest):
             self._ticket_ask(now, message)
         elif isinstance(message, TicketReply):
-            if not self.holder.said(message):
+            if not self.holder.handle_reply(message):
                 self.counts["says_not_asked_for"] += 1
             self._note_owned(now)
         elif isinstance(message, LoanRequest):
-            if message.mark != self.share.mark:
+            if message.fingerprint != self.share.fingerprint:
                 self._refuse(message.src, "marks_differ", now)
-            elif (lend := self.escrow.asked(message, now)) is not None:
+            elif (lend := self.escrow.handle_request(message, now)) is not None:
                 self._send(message.src, lend)
         elif isinstance(message, LoanReply):
-            self.escrow.lent_to_us(message, now)
+            self.escrow.handle_reply(message, now)
         elif isinstance(message, EvidenceReport):
             for seen in message.seen:
                 why = self.evidence.tell(message.src, (message.life, message.seq), seen, now)
@@ -323,9 +323,9 @@
             self._out.append(StateRefused(member, why))
 
     def _ticket_ask(self, now: float, ask: TicketRequest) -> None:
-        if self.witness is None or ask.mark != self.share.mark:
+        if self.witness is None or ask.fingerprint != self.share.fingerprint:
             self._refuse(ask.src, "not_a_witness" if self.witness is None else "marks_differ", now)
-        elif (say := self.witness.ask(ask, now)) is None:
+        elif (say := self.witness.handle_request(ask, now)) is None:
             self.counts["ticket_asks_old"] += 1
         else:
             self._send(ask.src, say)
@@ -360,17 +360,17 @@
     def _renew(self, now: float, unix_ms: float) -> None:
         """Ask the witnesses for our tickets, and others for loans."""
         if self.share.witnesses:
-            ask = self.holder.ask(self._falls.of(self.me), now)
+            ask = self.holder.next_request(self._falls.of(self.me), now)
             for witness in self.share.witnesses:
                 if witness == self.me:
-                    self.holder.said(self.witness.ask(ask, now))
+                    self.holder.handle_reply(self.witness.handle_request(ask, now))
                 else:
                     self._send(witness, ask)
             for member, some in self.escrow.renew(now, list(self.alive)):
                 self._send(member, some)
         if self.retries is not None and (lack := self.retries.lacking(now)) > 0:
             for member in self.rng.sample(list(self.alive), min(len(self.alive), GIVERS)):
-                self._send(member, self.escrow.ask(member, [Shortfall(RETRY, lack)], now))
+                self._send(member, self.escrow.new_request(member, [Shortfall(RETRY, lack)], now))
         self._note_owned(now)
 
     def _note_owned(self, now: float) -> None:
--- a/molespur/fleet/sharing.py
+++ b/molespur/fleet/sharing.py
@@ -23,12 +23,12 @@
 
 
 class TicketRequest(msgspec.Struct, array_like=True, tag=6):
-    """To a witness: lend this life of mine these tickets, for a lease.  `mark` names the settings."""
+    """To a witness: lend this life of mine these tickets, for a lease.  `fingerprint` names the settings."""
 
     seq: Count
     src: Id
     life: Count
-    mark: Count
+    fingerprint: Count
     tickets: Bits
 
 
@@ -54,7 +54,7 @@
     seq: Count
     src: Id
     life: Count
-    mark: Count
+    fingerprint: Count
     wishes: Annotated[list[Shortfall], Meta(max_length=ITEMS_MOST)]
 
 
@@ -184,7 +184,7 @@
 
 @dataclass(frozen=True)
 class SharingConfig:
-    """How state is shared; what `mark` covers must be the same at all members.  Milliseconds unless named."""
+    """How state is shared.  What `fingerprint` covers must be the same at all members.."""
 
     witnesses: tuple[str, ...] = ()  # ids; without any, each member has its floor alone
     size: int = 1  # members of the fleet at most
@@ -223,12 +223,12 @@
         return len(self.witnesses) // 2 + 1
 
     @cached_property
-    def keep_ms(self) -> float:
+    def hold_ms(self) -> float:
         """How long a witness keeps a ticket for a life that asks no more."""
         return self.lease_ms + self.margin_ms + max((k.grace_ms for k in self.kinds.values()), default=0.0)
 
     @cached_property
-    def mark(self) -> int:
+    def fingerprint(self) -> int:
         """Names what must be the same at all members for the bounds to hold."""
         kinds = sorted((name, *astuple(kind)) for name, kind in self.kinds.items())
         same = (sorted(self.witnesses), self.size, self.floor, self.tickets, self.lease_ms, self.loan_ms,
@@ -238,10 +238,10 @@
     def kind_of(self, budget: str) -> BudgetKind | None:
         return self.kinds.get(budget.partition("/")[0])
 
-    def floor_of(self, bound: float) -> float:
+    def floor_amount(self, bound: float) -> float:
         """What each member may always spend of a budget."""
         return bound * (self.floor if self.witnesses else 1.0) / max(self.size, 1)
 
-    def ticket_of(self, bound: float) -> float:
+    def ticket_amount(self, bound: float) -> float:
         """What one ticket gives of a budget."""
         return bound * (1.0 - self.floor) / self.tickets if self.witnesses else 0.0
--- a/molespur/fleet/tickets.py
+++ b/molespur/fleet/tickets.py
@@ -6,9 +6,9 @@
 its ballots: whom a ticket falls to is agreed by hashing, so that contests are rare and end with the lease.
 
 No clock is compared with another: the owner counts a lease from the moment it asked, the witness from the
-(later) moment it said yes and for `keep_ms`, which is the lease, a margin for clocks that run at different
+(later) moment it said yes and for `hold_ms`, which is the lease, a margin for clocks that run at different
 rates, and the grace in which what was spent on the lease may still weigh.  A witness that has just started
-says yes to nobody for `keep_ms`: its earlier life may have.
+says yes to nobody for `hold_ms`: its earlier life may have.
 """
 
 import math
@@ -20,7 +20,7 @@
 ASKS_KEPT = 8  # own asks whose answers may still come
 
 
-def to_bits(numbers: Iterable[int]) -> bytes:
+def to_bitmap(numbers: Iterable[int]) -> bytes:
     """Numbers as a bitmap, the lowest bit first."""
     bits = 0
     for number in numbers:
@@ -28,7 +28,7 @@
     return bits.to_bytes((bits.bit_length() + 7) // 8, "little")
 
 
-def from_bits(data: bytes) -> set[int]:
+def from_bitmap(data: bytes) -> set[int]:
     bits, found = int.from_bytes(data, "little"), set()
     while bits:
         low = bits & -bits
@@ -40,13 +40,13 @@
 class Witness:
     """One witness's ledger: which life of which member has which ticket, and until when by our clock."""
 
-    def __init__(self, me: str, count: int, keep_ms: float, started_ms: float):
-        self.me, self.count, self.keep_ms = me, count, keep_ms
-        self.quiet_until = started_ms + keep_ms
+    def __init__(self, me: str, count: int, hold_ms: float, started_ms: float):
+        self.me, self.count, self.hold_ms = me, count, hold_ms
+        self.quiet_until = started_ms + hold_ms
         self.lent: dict[int, tuple[tuple[str, int], float]] = {}  # ticket -> ((member, life), until)
         self._seqs: dict[tuple[str, int], tuple[int, float]] = {}  # (member, life) -> its last ask, and when
 
-    def ask(self, ask: TicketRequest, now: float) -> TicketReply | None:
+    def handle_request(self, ask: TicketRequest, now: float) -> TicketReply | None:
         """The answer to an ask; None to one that is not newer than the last of that life."""
         holder = (ask.src, ask.life)
         if ask.seq <= self._seqs.get(holder, (-1, 0.0))[0]:
@@ -55,17 +55,17 @@
         self._forget(now)
         granted = set()
         if now >= self.quiet_until:
-            for ticket in from_bits(ask.tickets):
+            for ticket in from_bitmap(ask.tickets):
                 other, until = self.lent.get(ticket, (holder, 0.0))
                 if ticket < self.count and (other == holder or until <= now):
-                    self.lent[ticket] = (holder, now + self.keep_ms)
+                    self.lent[ticket] = (holder, now + self.hold_ms)
                     granted.add(ticket)
-        return TicketReply(ask.seq, self.me, ask.life, to_bits(granted))
+        return TicketReply(ask.seq, self.me, ask.life, to_bitmap(granted))
 
     def _forget(self, now: float) -> None:
         """Forget lives that ask no more; guards memory against ever new ones."""
         if len(self._seqs) > 2 * self.count:
-            self._seqs = {h: v for h, v in self._seqs.items() if now - v[1] < self.keep_ms}
+            self._seqs = {h: v for h, v in self._seqs.items() if now - v[1] < self.hold_ms}
 
 
 class Holder:
@@ -80,7 +80,7 @@
         self._asked: dict[int, float] = {}  # ask -> when
         self._yes: dict[int, dict[str, float]] = {}  # ticket -> witness -> until, by our clock
 
-    def ask(self, fallen: set[int], now: float) -> TicketRequest:
+    def next_request(self, fallen: set[int], now: float) -> TicketRequest:
         """The next ask, for the tickets that fall to us and those that we own still.
 
         What has fallen to others is let go a part at a time: while a ticket changes hands nobody has it.
@@ -96,14 +96,14 @@
         self._asked.pop(self._seq - ASKS_KEPT, None)
         self._since = {ticket: self._since.get(ticket, self._seq) for ticket in self.wanted}
         self._yes = {t: yes for t, yes in self._yes.items() if t in self.wanted or self.until(t) > now}
-        return TicketRequest(self._seq, self.me, self.life, self.share.mark, to_bits(self.wanted))
+        return TicketRequest(self._seq, self.me, self.life, self.share.fingerprint, to_bitmap(self.wanted))
 
-    def said(self, say: TicketReply) -> bool:
+    def handle_reply(self, say: TicketReply) -> bool:
         """A witness's answer; False where it answers none of our last asks."""
         asked = self._asked.get(say.seq)
         if asked is None or say.life != self.life or say.src not in self.share.witnesses:
             return False
-        for ticket in from_bits(say.tickets):
+        for ticket in from_bitmap(say.tickets):
             # guards against a late yes to an ask from before we let go of the ticket
             if say.seq >= self._since.get(ticket, self._seq + 1):
                 yes = self._yes.setdefault(ticket, {})
--- a/molespur/fleet/uses.py
+++ b/molespur/fleet/uses.py
@@ -168,7 +168,7 @@
             return float("inf")
         available = retries.available(now)
         if available < 1.0 and failing:
-            retries.deny()
+            retries.record_denial()
         return available
 
     def learnt(self, worker: str, fields: dict[str, float]) -> None:
@@ -180,7 +180,7 @@
     def _cold_use(self, use: ColdUse) -> None:
         self._cold[use.worker] = (use.sent, False)
         if use.asked > self._told.parts.get(use.worker, 0.0):
-            self.machine.escrow.deny(f"{COLD}/{use.worker}", self.clock.now())
+            self.machine.escrow.record_denial(f"{COLD}/{use.worker}", self.clock.now())
 
     def _sending(self, worker: str, retry: bool) -> None:
         now, retries = self.clock.now(), self.machine.retries
@@ -204,7 +204,7 @@
         if have + 1 <= self.machine.available(budget, now) + NEARLY:
             return True
         self.counters["upstream.fleet_denied"] += 1
-        self.machine.escrow.deny(budget, now)
+        self.machine.escrow.record_denial(budget, now)
         return False
 
     def _ended(self, worker: str, job_class: str, outcome: Outcome, elapsed_ms: float) -> None:
--- a/molespur/standins/virtual_site.py
+++ b/molespur/standins/virtual_site.py
@@ -295,7 +295,7 @@
         if one.retries is not None:
             retries = one.retries.available(now)
             if retries < 1 and self.failing[i]:
-                one.retries.deny()
+                one.retries.record_denial()
             self.failing[i] = False
         names = [c.name for c in self.settings.classes]
         return io.SharedNews(
--- a/molespur/standins/virtual_state.py
+++ b/molespur/standins/virtual_state.py
@@ -124,7 +124,7 @@
         part = wanted * self.tick_ms / window
         amount = max(0.0, min(part, self.shared[i].available(name, now) - spender.used(now)))
         if amount < part:
-            self.shared[i].escrow.deny(name, now)
+            self.shared[i].escrow.record_denial(name, now)
         self.book(i, name, amount)
 
     def book(self, i: int, name: str, amount: float) -> None:
--- a/tests/fleet/test_load.py
+++ b/tests/fleet/test_load.py
@@ -80,7 +80,7 @@
     for ms in range(0, 100_000, 10):  # 100 first attempts a second
         rich.first(float(ms))
     assert rich.available(100_000.0) <= 20.0 + 1e-6, "rights of two seconds"
-    poor.deny()
+    poor.record_denial()
     lack = poor.lacking(100_000.0)
     assert lack == 1.0 and poor.lacking(100_000.0) == 0.0
     assert poor.take(1, rich.give(lack, 100_000.0)) and poor.available(100_000.0) == 1.0
--- a/tests/fleet/test_settings.py
+++ b/tests/fleet/test_settings.py
@@ -51,9 +51,9 @@
     share = part.share({"conn": BudgetKind(32.0, 3000.0, False, 1.0)}, SITE)
     assert (share.witnesses, share.size, share.quorum, share.majority) == (("a", "b", "c"), 200, 5, 2)
     assert (share.priorities, share.watchers) == ((0, 3), 0), "nothing is watched where there are no probes"
-    assert share.keep_ms == 4000.0 + 250.0 + 3000.0
-    assert share.mark == part.share({"conn": BudgetKind(32.0, 3000.0, False, 1.0)}, SITE).mark
-    assert share.mark != part.share({"conn": BudgetKind(33.0, 3000.0, False, 1.0)}, SITE).mark
+    assert share.hold_ms == 4000.0 + 250.0 + 3000.0
+    assert share.fingerprint == part.share({"conn": BudgetKind(32.0, 3000.0, False, 1.0)}, SITE).fingerprint
+    assert share.fingerprint != part.share({"conn": BudgetKind(33.0, 3000.0, False, 1.0)}, SITE).fingerprint
 
 
 def test_seeds_from_a_list_and_a_file(tmp_path):
--- a/tests/fleet/test_state.py
+++ b/tests/fleet/test_state.py
@@ -23,7 +23,7 @@
     TicketReply,
     TicketRequest,
 )
-from molespur.fleet.tickets import Holder, Witness, from_bits, to_bits
+from molespur.fleet.tickets import Holder, Witness, from_bitmap, to_bitmap
 from molespur.standins.virtual_state import VirtualState
 
 MEMBERS = st.sampled_from(["a", "b", "c", "d"])
@@ -78,7 +78,7 @@
 
 @given(st.sets(st.integers(0, 40)), st.lists(st.sets(MEMBERS), max_size=6))
 def test_things_fall_to_members_alike_however_the_view_came_to_be(numbers, views):
-    assert from_bits(to_bits(numbers)) == numbers
+    assert from_bitmap(to_bitmap(numbers)) == numbers
     spread = Spread("t/", 32)
     for view in views:
         spread.change(view)
@@ -94,48 +94,50 @@
 
 
 def asking(member, life, seq, *tickets):
-    return TicketRequest(seq, member, life, THREE.mark, to_bits(tickets))
+    return TicketRequest(seq, member, life, THREE.fingerprint, to_bitmap(tickets))
 
 
 def test_a_witness_lends_a_ticket_to_one_life_until_its_time_and_grace_are_over():
-    witness = Witness("x", 8, THREE.keep_ms, 0.0)
+    witness = Witness("x", 8, THREE.hold_ms, 0.0)
 
     def lends(now, *ask):
-        return from_bits(witness.ask(asking(*ask), now).tickets)
+        return from_bitmap(witness.handle_request(asking(*ask), now).tickets)
 
     assert lends(1.0, "a", 1, 1, 0, 1) == set(), "just started: its earlier life may have lent them"
-    after = THREE.keep_ms
+    after = THREE.hold_ms
     assert lends(after, "a", 1, 2, 0, 1, 99) == {0, 1}
     assert lends(after + 1, "b", 1, 1, 1, 2) == {2}
     assert lends(after + 1000, "a", 1, 3, 0) == {0}
-    assert witness.ask(asking("a", 1, 3, 0, 1), after + 1001) is None, "a double or late ask says nothing"
+    assert witness.handle_request(asking("a", 1, 3, 0, 1), after + 1001) is None, (
+        "a double or late ask says nothing"
+    )
     assert lends(2 * after - 1, "a", 2, 1, 0, 1) == set(), "its own next life waits for what the first had"
     assert lends(2 * after, "b", 1, 2, 1, 2) == {1, 2}
-    assert THREE.keep_ms == THREE.lease_ms + THREE.margin_ms + 1000.0
+    assert THREE.hold_ms == THREE.lease_ms + THREE.margin_ms + 1000.0
 
 
 def test_a_holder_owns_by_majority_from_when_it_asked_and_takes_no_late_yes():
     share, holder = THREE, Holder("a", 1, THREE)
-    witnesses = [Witness(w, 8, share.keep_ms, -1e6) for w in share.witnesses]
-    ask = holder.ask({3, 4}, 100.0)
-    says = [witness.ask(ask, 150.0) for witness in witnesses]
-    holder.said(says[0])
+    witnesses = [Witness(w, 8, share.hold_ms, -1e6) for w in share.witnesses]
+    ask = holder.next_request({3, 4}, 100.0)
+    says = [witness.handle_request(ask, 150.0) for witness in witnesses]
+    holder.handle_reply(says[0])
     assert holder.owned(160.0) == []
-    holder.said(says[1])
+    holder.handle_reply(says[1])
     assert holder.owned(160.0) == [100.0 + share.lease_ms] * 2
     assert holder.owned(100.0 + share.lease_ms) == []
-    holder.ask({4}, 200.0)
+    holder.next_request({4}, 200.0)
     assert len(holder.owned(201.0)) == 1, "what fell to another is let go"
     again = Holder("a", 2, share)
-    first = again.ask({3}, 10_000.0)
+    first = again.next_request({3}, 10_000.0)
     says = [TicketReply(first.seq, w, 2, first.tickets) for w in share.witnesses]
-    again.ask(set(), 10_100.0)
-    again.ask({3}, 10_200.0)
+    again.next_request(set(), 10_100.0)
+    again.next_request({3}, 10_200.0)
     for say in says:
-        assert again.said(say)
+        assert again.handle_reply(say)
     assert again.owned(10_300.0) == [], "a yes from before it was let go tells nothing of now"
     for seq, witness, life in ((9, "x", 2), (3, "q", 2), (3, "x", 1)):
-        assert not again.said(TicketReply(seq, witness, life, first.tickets))
+        assert not again.handle_reply(TicketReply(seq, witness, life, first.tickets))
 
 
 # -- Loans, by hand --------------------------------------------------------------------------------
@@ -148,10 +150,10 @@
 
 
 def wish(lack, seq=1, src="b", life=1):
-    return LoanRequest(seq, src, life, THREE.mark, [Shortfall("cold/w", lack)])
+    return LoanRequest(seq, src, life, THREE.fingerprint, [Shortfall("cold/w", lack)])
 
 
-UNIT = THREE.ticket_of(100.0)
+UNIT = THREE.ticket_amount(100.0)
 
 
 @pytest.mark.parametrize(
@@ -162,26 +164,26 @@
         ("idle", [wish(500.0), wish(500.0)], [4 * UNIT, None]),  # the same ask twice
         ("idle", [wish(500.0, 2), wish(500.0, 1)], [4 * UNIT, None]),  # late
         ("idle", [wish(500.0), wish(500.0, src="c")], [4 * UNIT, None]),  # it has lent all
-        ("busy", [wish(500.0)], [4 * UNIT - (1.25 * 20 - THREE.floor_of(100.0))]),  # keeps what it spends
-        ("idle", [LoanRequest(1, "b", 1, THREE.mark, [Shortfall("nothing/w", 1.0)])], [None]),
+        ("busy", [wish(500.0)], [4 * UNIT - (1.25 * 20 - THREE.floor_amount(100.0))]),  # keeps what it spends
+        ("idle", [LoanRequest(1, "b", 1, THREE.fingerprint, [Shortfall("nothing/w", 1.0)])], [None]),
     ],
 )
 def test_what_is_lent(lender, asks, amounts):
     escrow_ = escrow(used=20.0 if lender == "busy" else 0.0)
-    lends = [escrow_.asked(ask, 10.0) for ask in asks]
+    lends = [escrow_.handle_request(ask, 10.0) for ask in asks]
     assert [lend and round(lend.loans[0].amount, 6) for lend in lends] == [a and round(a, 6) for a in amounts]
 
 
 def test_a_lender_counts_a_loan_past_its_end_and_a_borrower_not_so_long():
     lender, borrower = escrow(), escrow("b", tickets=0)
     before = lender.available("cold/w", 0.0)
-    borrower.deny("cold/w", 0.0)
+    borrower.record_denial("cold/w", 0.0)
     ((whom, ask),) = borrower.renew(0.0, ["a"])
     assert whom == "a"
-    lend = lender.asked(ask, 40.0)  # 40 ms later
-    assert borrower.lent_to_us(lend, 80.0)
+    lend = lender.handle_request(ask, 40.0)  # 40 ms later
+    assert borrower.handle_reply(lend, 80.0)
     amount = lend.loans[0].amount
-    floor = THREE.floor_of(100.0)
+    floor = THREE.floor_amount(100.0)
     assert borrower.available("cold/w", THREE.loan_ms - 1) == floor + amount
     assert borrower.available("cold/w", THREE.loan_ms) == floor, "from when it asked, by its own clock"
     back = 40.0 + THREE.loan_ms + THREE.margin_ms + 1000.0
@@ -192,8 +194,8 @@
         LoanReply(ask.seq, "a", 2, lend.loans),  # asked by another life of ours
         LoanReply(99, "a", 1, lend.loans),
     ):
-        assert not borrower.lent_to_us(bad, 90.0)
-    assert borrower.lent_to_us(LoanReply(ask.seq, "a", 1, [Loan("cold/w", 1e6, 9e9)]), 90.0)
+        assert not borrower.handle_reply(bad, 90.0)
+    assert borrower.handle_reply(LoanReply(ask.seq, "a", 1, [Loan("cold/w", 1e6, 9e9)]), 90.0)
     assert borrower.counts["loans_absurd"] == 1 and borrower.counts["loans_not_asked_for"] == 3
 
 
@@ -201,13 +203,13 @@
     borrower = escrow("b", tickets=0)
     asks = []
     for now in (0.0, 1000.0):
-        borrower.deny("cold/w", now)
+        borrower.record_denial("cold/w", now)
         asks += borrower.renew(now, ["a"])
     lends = [LoanReply(ask.seq, "a", 1, [Loan("cold/w", amount, THREE.loan_ms)])
              for (_, ask), amount in zip(asks, (9.0, 4.0), strict=True)]  # fmt: skip
     for lend in (*lends, lends[0]):
-        borrower.lent_to_us(lend, 1100.0)
-    assert borrower.available("cold/w", 1200.0) == THREE.floor_of(100.0) + 4.0
+        borrower.handle_reply(lend, 1100.0)
+    assert borrower.available("cold/w", 1200.0) == THREE.floor_amount(100.0) + 4.0
 
 
 # -- Budgets in a fleet, faults between its members --------------------------------------------------
@@ -239,7 +241,7 @@
     made = fleet(9)
     made.partition({0, 1, 2, 3, 4}, {5, 6, 7, 8})
     made.run(made.now + 30_000)
-    floor = made.share.floor_of(100.0)
+    floor = made.share.floor_amount(100.0)
     assert all(made.shared[i].available("cold/w", made.clock(i)) == floor for i in range(5, 9))
     assert 95.0 < rate(made) < 100.1
     made.heal()
@@ -269,7 +271,7 @@
     made = fleet(9, {3})
     made.pause(3)
     made.run(made.now + 15_000)
-    assert made.shared[3].available("cold/w", made.clock(3)) == made.share.floor_of(100.0)
+    assert made.shared[3].available("cold/w", made.clock(3)) == made.share.floor_amount(100.0)
     made.resume(3)
     made.run(made.now + 15_000)
     assert made.peak["cold/w"] <= 100.0 + 1e-6 and rate(made) > 90.0
