--- a/benchmarks/fleet_state.py
+++ b/benchmarks/fleet_state.py
@@ -29,7 +29,7 @@
 from molespur import Dispatcher, Settings
 from molespur import interface as io
 from molespur.fleet import shared
-from molespur.fleet.crdt import Counts, Row
+from molespur.fleet.crdt import CounterRow, FleetCounters
 from molespur.fleet.escrow import Escrow
 from molespur.fleet.sharing import (
     BudgetKind,
@@ -182,7 +182,7 @@
             self.state.run(now + self.STEP_MS)
             if self.share and int(now / 100) != int((now + self.STEP_MS) / 100):
                 for i, one in enumerate(self.made):
-                    bad = self.state.shared[i].bad(self.state.clock(i))
+                    bad = self.state.shared[i].bad_workers(self.state.clock(i))
                     self.wrong |= bad - self.BAD
                     self.act(i, now, one.handle(now, io.SharedNews(bad=frozenset(bad))))
         return self
@@ -225,8 +225,8 @@
 def cpu() -> str:
     """Microseconds of each merge and answer."""
     share = SharingConfig(witnesses=WITNESSES, size=200, kinds={"cold": BudgetKind(BOUND, 1000.0)})
-    rows = [Row(f"m{i}", 1, {f"c{k}": (k * i, 0) for k in range(6)}) for i in range(200)]
-    totals = Counts("m0", 1)
+    rows = [CounterRow(f"m{i}", 1, {f"c{k}": (k * i, 0) for k in range(6)}) for i in range(200)]
+    totals = FleetCounters("m0", 1)
     witness = Witness("m0", share.tickets, share.hold_ms, -1e9)
     escrow = Escrow("m0", 1, share, lambda now: [1e9] * 2, lambda b, now: 0.0, random.Random(1), -1e9)
     bits, turn = to_bitmap([3, 9, 77]), [0]
--- a/molespur/fleet/crdt.py
+++ b/molespur/fleet/crdt.py
@@ -23,32 +23,32 @@
     return (max(a[0], b[0]), max(a[1], b[1]))
 
 
-class Row(msgspec.Struct, array_like=True, frozen=True):
+class CounterRow(msgspec.Struct, array_like=True, frozen=True):
     """One member's counts in one life, by name: what was added and what was taken, both only growing.
 
     A G-counter's entry is one of which nothing is taken.  Of two lives the later stands; a member that starts
-    anew takes its past row up (`Counts.merge`), so that counts go on where they were.
+    anew takes its past row up (`FleetCounters.merge`), so that counts go on where they were.
     """
 
     member: Annotated[str, Meta(min_length=1, max_length=64)]
     life: Annotated[int, Meta(ge=0, le=2**63 - 1)]
     counts: Annotated[dict[Name, tuple[Total, Total]], Meta(max_length=NAMES_MOST)]
 
-    def merge(self, other: "Row") -> "Row":
+    def merge(self, other: "CounterRow") -> "CounterRow":
         """The later life's, or entry by entry the larger."""
         if self.life != other.life:
             return self if self.life > other.life else other
         names = sorted(self.counts.keys() | other.counts.keys())
         merged = {n: _larger(self.counts.get(n, ZERO), other.counts.get(n, ZERO)) for n in names}
-        return Row(self.member, self.life, dict(sorted(merged.items())[:NAMES_MOST]))
+        return CounterRow(self.member, self.life, dict(sorted(merged.items())[:NAMES_MOST]))
 
 
-class Counts:
+class FleetCounters:
     """PN-counters by name over the fleet: one row a member, its own among them."""
 
     def __init__(self, me: str, life: int, started_ms: float = 0.0, most_members: int = 1_024):
         self.me, self.started_ms, self.most_members = me, started_ms, most_members
-        self.rows: dict[str, Row] = {me: Row(me, life, {})}
+        self.rows: dict[str, CounterRow] = {me: CounterRow(me, life, {})}
         self._past: dict[str, tuple[int, int]] = {}  # of past lives of ours, in our row
         self._lives = {life}  # that our row had in this process
 
@@ -58,9 +58,9 @@
         added, taken = mine.counts.get(name, (0, 0))
         pair = (added + max(count, 0), taken + max(-count, 0))
         if name in mine.counts or len(mine.counts) < NAMES_MOST:
-            self.rows[self.me] = Row(self.me, mine.life, mine.counts | {name: pair})
+            self.rows[self.me] = CounterRow(self.me, mine.life, mine.counts | {name: pair})
 
-    def merge(self, row: Row, now: float) -> bool:
+    def merge(self, row: CounterRow, now: float) -> bool:
         """Another row; True if it tells anything new."""
         if row.member == self.me:
             return self._take_up(row, now)
@@ -71,7 +71,7 @@
         self.rows[row.member] = merged
         return merged != held
 
-    def _take_up(self, row: Row, now: float) -> bool:
+    def _take_up(self, row: CounterRow, now: float) -> bool:
         """A past life's row goes into ours, under a life above it, soon after our start.
 
         Later it is another process under our id, and taking it up would go on for ever between the two.
@@ -92,7 +92,7 @@
         kept = dict(sorted(counts.items())[:NAMES_MOST])
         life = max(mine.life, row.life + 1)
         self._lives.add(life)
-        self.rows[self.me] = Row(self.me, life, kept)
+        self.rows[self.me] = CounterRow(self.me, life, kept)
         return True
 
     def total(self, name: str) -> int:
--- a/molespur/fleet/model.py
+++ b/molespur/fleet/model.py
@@ -118,7 +118,9 @@
     src: Id
     join: bool
     members: Annotated[list[News], Meta(max_length=65_536)]
-    whole: msgspec.Raw = msgspec.Raw(b"\xc0")  # the shared state (`sharing.Whole`), nil where there is none
+    shared_state: msgspec.Raw = msgspec.Raw(
+        b"\xc0"
+    )  # the shared state (`sharing.StateSnapshot`), nil where there is none
 
 
 @dataclass(frozen=True, slots=True)
--- a/molespur/fleet/retries.py
+++ b/molespur/fleet/retries.py
@@ -17,7 +17,7 @@
 GIFTS_KEPT = 128
 
 
-class Retries:
+class RetryBudget:
     """One member's side of the budget."""
 
     def __init__(self, share: SharingConfig, now: float):
@@ -36,17 +36,17 @@
         while self._firsts and self._firsts[0][0] <= now // 1000 - KEPT_S:
             self._firsts.popleft()
 
-    def earned_lately(self, now: float) -> float:
+    def earned_recently(self, now: float) -> float:
         """Rights earned in the last seconds: the most that are kept."""
         self._grow(now)
         return self.ratio * sum(count for _, count in self._firsts)
 
-    def first(self, now: float) -> None:
+    def record_first_attempt(self, now: float) -> None:
         """A first attempt of ours."""
         if not self._firsts or self._firsts[-1][0] != now // 1000:
             self._firsts.append([now // 1000, 0])
         self._firsts[-1][1] += 1
-        self.rights = min(self.rights + self.ratio, max(self.earned_lately(now), 1.0))
+        self.rights = min(self.rights + self.ratio, max(self.earned_recently(now), 1.0))
 
     def available(self, now: float) -> float:
         """Retries that may be sent now."""
@@ -71,14 +71,14 @@
         self.denied = True
         self.counts["retries_denied"] += 1
 
-    def lacking(self, now: float) -> float:
+    def shortfall(self, now: float) -> float:
         """What to ask others for now; 0: nothing."""
         denied, self.denied = self.denied, False
-        return max(1.0, self.earned_lately(now) / KEPT_S) if denied else 0.0
+        return max(1.0, self.earned_recently(now) / KEPT_S) if denied else 0.0
 
     def give(self, lack: float, now: float) -> float:
         """Give another some of ours: it is gone from here, whether or not it arrives."""
-        spare = SPARE * (self.rights - self.earned_lately(now) / KEPT_S)
+        spare = SPARE * (self.rights - self.earned_recently(now) / KEPT_S)
         gift = min(lack, spare)
         if gift < 0.1:
             return 0.0
--- a/molespur/fleet/shared.py
+++ b/molespur/fleet/shared.py
@@ -13,14 +13,14 @@
 import msgspec
 
 from . import wire
-from .crdt import Counts, Row
+from .crdt import CounterRow, FleetCounters
 from .escrow import Escrow
 from .evidence import Evidence, Own, Verdict
 from .judgements import ASK, BAD, Judgements
 from .model import Address
 from .rendezvous import Spread as Falls
 from .rendezvous import pick
-from .retries import KEPT_S, Retries
+from .retries import KEPT_S, RetryBudget
 from .sharing import (
     ITEMS_MOST,
     EvidenceReport,
@@ -74,7 +74,7 @@
 class SnapshotReceived:
     """What rode on a push-pull."""
 
-    whole: StateSnapshot
+    snapshot: StateSnapshot
 
 
 @dataclass(frozen=True, slots=True)
@@ -168,7 +168,7 @@
 
     `handle(now, unix_ms, event) -> actions`.  `used(budget, now)` tells what we have spent of a budget within
     its grace; `loads()` what became of each class's jobs since it was last called.  Reading: `available`,
-    `bad`, `shed`, `whole`, and `report` for operators.
+    `bad_workers`, `shed_fractions`, `snapshot`, and `report` for operators.
     """
 
     def __init__(
@@ -190,12 +190,12 @@
         self.witness = Witness(me, share.tickets, share.hold_ms, now) if me in share.witnesses else None
         self.holder = Holder(me, life, share)
         self.escrow = Escrow(me, life, share, self.holder.owned, used, rng, now)
-        self.retries = Retries(share, now) if share.retry_ratio else None
+        self.retries = RetryBudget(share, now) if share.retry_ratio else None
         if self.retries is not None:
             self.escrow.gifts[RETRY] = (self.retries.give, self.retries.take)
         self.own, self.evidence = Own(share), Evidence(share)
         self.judgements = Judgements(me, share.bad_ms)
-        self.totals = Counts(me, life, now)
+        self.totals = FleetCounters(me, life, now)
         self._falls = Falls("ticket/", share.tickets)
         self._queue: dict[tuple[str, str], _Queued] = {}  # ("said" or "row", key) still to be told on
         self._next = {name: now + rng.uniform(0.0, 1.0) * getattr(share, f"{name}_ms") for name in CHORES}
@@ -221,9 +221,9 @@
         elif isinstance(event, StateReceived):
             self._heard(now, unix_ms, event.message)
         elif isinstance(event, SnapshotReceived):
-            for said in event.whole.said:
+            for said in event.snapshot.said:
                 self._hear(said, now, unix_ms)
-            for row in event.whole.rows:
+            for row in event.snapshot.rows:
                 self._take_row(row, now)
         elif isinstance(event, MembersChanged):
             self._view(event.alive)
@@ -243,18 +243,18 @@
         """What we may spend of a budget, what is spent within its grace included."""
         return self.escrow.available(budget, now)
 
-    def bad(self, now: float) -> set[str]:
+    def bad_workers(self, now: float) -> set[str]:
         """Workers that are bad for the fleet now."""
         return self.judgements.having(BAD, now)
 
-    def shed(self, now: float) -> tuple[float, ...]:
+    def shed_fractions(self, now: float) -> tuple[float, ...]:
         """Of each class, in the settings' order, the part that all schedulers turn away now."""
         said = self.judgements.told(SHED, now)
         if said is None or said.age_ms >= LIFE_MS or len(said.value) != len(self.share.priorities):
             return ()
         return tuple(from_bytes(said.value))
 
-    def whole(self, now: float) -> StateSnapshot:
+    def snapshot(self, now: float) -> StateSnapshot:
         """What rides on a push-pull."""
         return StateSnapshot(list(self.judgements.all(now)), list(self.totals.rows.values()))
 
@@ -339,7 +339,7 @@
             self._queue_up("said", said.key, said)
             self._note_bad(now, said.stamp.member)
 
-    def _take_row(self, row: Row, now: float) -> None:
+    def _take_row(self, row: CounterRow, now: float) -> None:
         if self.totals.merge(row, now):
             row = self.totals.rows[row.member]
             self._queue_up("row", row.member, row)
@@ -368,7 +368,7 @@
                     self._send(witness, ask)
             for member, some in self.escrow.renew(now, list(self.alive)):
                 self._send(member, some)
-        if self.retries is not None and (lack := self.retries.lacking(now)) > 0:
+        if self.retries is not None and (lack := self.retries.shortfall(now)) > 0:
             for member in self.rng.sample(list(self.alive), min(len(self.alive), GIVERS)):
                 self._send(member, self.escrow.new_request(member, [Shortfall(RETRY, lack)], now))
         self._note_owned(now)
@@ -412,7 +412,7 @@
 
     def _judge(self, now: float, unix_ms: float) -> None:
         """As a judge: ask what members saw of a worker that failed someone, then say whether it is bad."""
-        bad = self.bad(now)
+        bad = self.bad_workers(now)
         self._asked_of = {w: at for w, at in self._asked_of.items() if w in self.evidence.told}
         for worker in list(self.evidence.told):
             if worker in bad:
@@ -434,7 +434,7 @@
         self._queue_up("said", worker, self.judgements.write(worker, value, now, unix_ms))
 
     def _note_bad(self, now: float, by: str, verdict: Verdict | None = None) -> None:
-        bad = self.bad(now)
+        bad = self.bad_workers(now)
         for worker in sorted(bad - self._bad):
             # guards against the same evidence speaking against a worker twice, after its judgement is over
             self.evidence.told.pop(worker, None)
@@ -466,7 +466,7 @@
             if said or rows:
                 self._send(member, StateGossip(self.me, unix_ms, said, rows))
 
-    def _queue_up(self, kind: str, key: str, item: RegisterUpdate | Row) -> None:
+    def _queue_up(self, kind: str, key: str, item: RegisterUpdate | CounterRow) -> None:
         size = len(msgspec.msgpack.encode(item)) + 4
         left = RETOLD[kind] * len(str(len(self.alive) + 1))
         if size <= self.datagram_most - HEADROOM:
@@ -500,10 +500,12 @@
             else:
                 self._send(judge, FleetLoadReport(self._seq, self.me, self.life, span, plain))
         said = self.judgements.told(SHED, now)
-        parts = self.judge.judge(now, members, None if said is None else said.age_ms, self.shed(now))
+        parts = self.judge.judge(
+            now, members, None if said is None else said.age_ms, self.shed_fractions(now)
+        )
         if parts is not None and (any(parts) or said is not None):
             self._queue_up("said", SHED, self.judgements.write(SHED, to_bytes(parts), now, unix_ms))
-        now_shed = self.shed(now)
+        now_shed = self.shed_fractions(now)
         if now_shed != self._parts and (any(now_shed) or any(self._parts)):
             self._out.append(SheddingChanged(now_shed, said.stamp.member if said else self.me))
         self._parts = now_shed
@@ -548,7 +550,7 @@
     lent = Counter(who for (who, _), until in ledger if until > now) if one.witness else None
     for member in sorted([one.me, *one.alive]):
         lines.append(f"tickets {member} {len(one.fallen_to(member))} {'-' if lent is None else lent[member]}")
-    for worker in sorted(one.bad(now)):
+    for worker in sorted(one.bad_workers(now)):
         left = one.share.bad_ms - one.judgements.told(worker, now).age_ms
         lines.append(f"bad {worker} {left / 1000:.1f}")
     ours = one.totals.rows[one.me].counts
@@ -567,12 +569,12 @@
     probes for others.
     """
     members = [*one.alive, one.me]
-    lines = [f"shed {name} {part:.3f}" for name, part in zip(names, one.shed(now), strict=False)]
+    lines = [f"shed {name} {part:.3f}" for name, part in zip(names, one.shed_fractions(now), strict=False)]
     lines += [f"judge {member} {rank}" for rank, member in enumerate(one.judge.judges(members))]
     if one.judge.acting and one.judge.pace.jobs_per_s is not None:
         lines.append(f"pace {one.judge.pace.jobs_per_s:.1f}")
     if one.retries is not None:
-        earned = one.retries.earned_lately(now) / KEPT_S
+        earned = one.retries.earned_recently(now) / KEPT_S
         lines.append(f"retries {one.share.retry_ratio:g} {one.retries.available(now):.2f} {earned:.2f}")
     firsts, retries = one.totals.total("firsts"), one.totals.total("retries")
     lines.append(f"amplification {firsts + retries} {(firsts + retries) / max(firsts, 1):.3f}")
--- a/molespur/fleet/sharing.py
+++ b/molespur/fleet/sharing.py
@@ -13,7 +13,7 @@
 import msgspec
 from msgspec import Meta
 
-from .crdt import Row, Stamp
+from .crdt import CounterRow, Stamp
 from .model import Count, Id, Message
 
 Key = Annotated[str, Meta(min_length=1, max_length=96)]
@@ -107,14 +107,14 @@
     src: Id
     unix_ms: Amount
     said: Annotated[list[RegisterUpdate], Meta(max_length=ITEMS_MOST)] = []
-    rows: Annotated[list[Row], Meta(max_length=ITEMS_MOST)] = []
+    rows: Annotated[list[CounterRow], Meta(max_length=ITEMS_MOST)] = []
 
 
 class StateSnapshot(msgspec.Struct, array_like=True):
     """The shared state that rides on a push-pull."""
 
     said: Annotated[list[RegisterUpdate], Meta(max_length=8_192)] = []
-    rows: Annotated[list[Row], Meta(max_length=4_096)] = []
+    rows: Annotated[list[CounterRow], Meta(max_length=4_096)] = []
 
 
 class ReportSubscription(msgspec.Struct, array_like=True, tag=12):
--- a/molespur/fleet/state.py
+++ b/molespur/fleet/state.py
@@ -41,7 +41,7 @@
         self.machine, self.uses = machine, uses
         self._viewed: dict[str, Address] | None = None  # who lives, as the machine was told
         self._lent = 0  # loans lent when the program was last held to its budgets
-        self.membership.whole = lambda: wire.encode_whole(machine.whole(self.clock.now()))
+        self.membership.shared_state = lambda: wire.encode_snapshot(machine.snapshot(self.clock.now()))
         uses.connect(machine, self._tell, self._hold, adapts)
 
     def budgets(self) -> list[str]:
@@ -61,7 +61,7 @@
             self.counters["fleet.shared." + name] = count
         now = self.clock.now()
         self.counters["fleet.shared.tickets"] = len(self.machine.holder.owned(now))
-        self.counters["fleet.shared.bad"] = len(self.machine.bad(now))
+        self.counters["fleet.shared.bad"] = len(self.machine.bad_workers(now))
 
     # -- The hooks -----------------------------------------------------------------------------
 
@@ -83,9 +83,9 @@
         self._tell(StateReceived(message))
 
     def _carried(self, exchange) -> None:
-        whole, why = wire.decode_whole(exchange.whole)
-        if whole is not None:
-            self._tell(SnapshotReceived(whole))
+        snapshot, why = wire.decode_snapshot(exchange.shared_state)
+        if snapshot is not None:
+            self._tell(SnapshotReceived(snapshot))
         elif why:
             self.counters["fleet.whole_dropped." + why] += 1
 
--- a/molespur/fleet/swim/exchange.py
+++ b/molespur/fleet/swim/exchange.py
@@ -54,7 +54,7 @@
             State.LEFT if self.leaving else State.ALIVE, self.me,
         )  # fmt: skip
         members = [own] + [m.news() for m in self.members.values()]
-        return wire.encode_exchange(self.cluster, self.me, join, members, self.whole())
+        return wire.encode_exchange(self.cluster, self.me, join, members, self.shared_state())
 
     def _push_pull(self) -> None:
         """With a member held alive; every other time with one held failed, so that split halves heal.
--- a/molespur/fleet/swim/state.py
+++ b/molespur/fleet/swim/state.py
@@ -32,7 +32,9 @@
         self.health = 0  # Lifeguard's local health score: 0 is healthy
         self.counts: Counter = Counter()
         self.started = self.leaving = self.joined = False
-        self.whole: Callable[[], bytes] = lambda: wire.NOTHING  # the shared state that rides on push-pulls
+        self.shared_state: Callable[[], bytes] = lambda: (
+            wire.NOTHING
+        )  # the shared state that rides on push-pulls
         self._suspects: set[str] = set()
         self._ring_version = 0  # raised whenever a member comes into or goes out of the ring
         self._ring_key: tuple[int, int] | None = None
--- a/molespur/fleet/uses.py
+++ b/molespur/fleet/uses.py
@@ -149,8 +149,8 @@
         self._list()
         self.host.fresh_until = now + self.fresh_ms
         watched = machine.watching.watched if machine.watching is not None else None
-        shed = dict(zip(self.names, machine.shed(now), strict=False))
-        news = SharedNews(parts, frozenset(machine.bad(now)), self._retries(now), watched, shed)
+        shed = dict(zip(self.names, machine.shed_fractions(now), strict=False))
+        news = SharedNews(parts, frozenset(machine.bad_workers(now)), self._retries(now), watched, shed)
         if parts or news != self._told:
             self._told = news
             self._cold = {uid: part for uid, part in self._cold.items() if uid in parts}
@@ -189,7 +189,7 @@
         if retries is not None and retry:
             retries.spend(now)
         elif retries is not None:
-            retries.first(now)
+            retries.record_first_attempt(now)
         self.counters["fleet.retries" if retry else "fleet.firsts"] += 1
 
     def _limit(self, worker: str) -> Gradient:
--- a/molespur/fleet/wire.py
+++ b/molespur/fleet/wire.py
@@ -18,7 +18,7 @@
 _packet = msgspec.msgpack.Decoder(Packet)
 _message = msgspec.msgpack.Decoder(AnyMessage)
 _exchange = msgspec.msgpack.Decoder(Exchange)
-_whole = msgspec.msgpack.Decoder(StateSnapshot | None)
+_snapshot = msgspec.msgpack.Decoder(StateSnapshot | None)
 NOTHING = b"\xc0"  # nil
 
 
@@ -66,9 +66,11 @@
         return None, "malformed"
 
 
-def encode_exchange(cluster: str, src: str, join: bool, members: list[News], whole: bytes = NOTHING) -> bytes:
-    """A push-pull state with its length in front; `whole` is the shared state, as `encode_whole` gives it."""
-    body = _encoder.encode(Exchange(VERSION, cluster, src, join, members, msgspec.Raw(whole)))
+def encode_exchange(
+    cluster: str, src: str, join: bool, members: list[News], shared_state: bytes = NOTHING
+) -> bytes:
+    """A push-pull state with its length in front; `shared_state` as `encode_snapshot` gives it."""
+    body = _encoder.encode(Exchange(VERSION, cluster, src, join, members, msgspec.Raw(shared_state)))
     return LENGTH.pack(len(body)) + body
 
 
@@ -85,14 +87,14 @@
     return exchange, ""
 
 
-def encode_whole(whole: StateSnapshot) -> bytes:
+def encode_snapshot(snapshot: StateSnapshot) -> bytes:
     """The shared state that rides on a push-pull."""
-    return _encoder.encode(whole)
+    return _encoder.encode(snapshot)
 
 
-def decode_whole(data: msgspec.Raw) -> tuple[StateSnapshot | None, str]:
+def decode_snapshot(data: msgspec.Raw) -> tuple[StateSnapshot | None, str]:
     """The shared state of a push-pull, None where there is none, and why not where it can't be taken."""
     try:
-        return _whole.decode(data), ""
+        return _snapshot.decode(data), ""
     except (msgspec.DecodeError, msgspec.ValidationError):
         return None, "malformed"
--- a/molespur/standins/virtual_site.py
+++ b/molespur/standins/virtual_site.py
@@ -299,9 +299,9 @@
             self.failing[i] = False
         names = [c.name for c in self.settings.classes]
         return io.SharedNews(
-            bad=frozenset(one.bad(now)), retries=retries,
+            bad=frozenset(one.bad_workers(now)), retries=retries,
             probes=one.watching.watched if one.watching is not None else None,
-            shed=dict(zip(names, one.shed(now), strict=False)),
+            shed=dict(zip(names, one.shed_fractions(now), strict=False)),
         )  # fmt: skip
 
     def _take_loads(self, i: int) -> list[Load]:
@@ -317,7 +317,7 @@
     def sent(self, i: int, number: int, worker: str) -> None:
         one, now = self.state.shared[i], self.state.clock(i)
         if one.retries is not None:
-            one.retries.spend(now) if number else one.retries.first(now)
+            one.retries.spend(now) if number else one.retries.record_first_attempt(now)
 
     def ended(self, i: int, worker: str, outcome: Outcome) -> None:
         if outcome is not Outcome.OK:
@@ -330,7 +330,7 @@
 
     def answered(self, i: int, job: Job, end: str, took_ms: float) -> None:
         parts = dict(zip((c.name for c in self.settings.classes),
-                         self.state.shared[i].shed(self.state.clock(i)), strict=False))  # fmt: skip
+                         self.state.shared[i].shed_fractions(self.state.clock(i)), strict=False))  # fmt: skip
         what = "bad" if end != "served" else "good" if took_ms <= GOOD_MS else "late"
         if end == "refused" and job.key / 2**32 < parts.get(job.job_class, 0.0) and took_ms < 1.0:
             what = "shed"
--- a/molespur/standins/virtual_state.py
+++ b/molespur/standins/virtual_state.py
@@ -63,7 +63,7 @@
             loads=lambda i=i: self.loads(i),
         )  # fmt: skip
         super().start(i, seeds)
-        self.members[i].whole = lambda: wire.encode_whole(self.shared[i].whole(self.clock(i)))
+        self.members[i].shared_state = lambda: wire.encode_snapshot(self.shared[i].snapshot(self.clock(i)))
 
     def kill(self, i: int) -> None:
         super().kill(i)
@@ -92,9 +92,9 @@
             super()._take(i, message)
 
     def _carried(self, i: int, exchange) -> None:
-        whole, _ = wire.decode_whole(exchange.whole)
-        if whole is not None:
-            self.tell(i, shared.SnapshotReceived(whole))
+        snapshot, _ = wire.decode_snapshot(exchange.shared_state)
+        if snapshot is not None:
+            self.tell(i, shared.SnapshotReceived(snapshot))
 
     def _act(self, i: int, actions: list) -> None:
         super()._act(i, actions)
--- a/tests/fleet/test_load.py
+++ b/tests/fleet/test_load.py
@@ -6,7 +6,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from molespur.fleet.concurrency import LEAST, MOST, Gradient
-from molespur.fleet.retries import Retries
+from molespur.fleet.retries import RetryBudget
 from molespur.fleet.sharing import ReportSubscription, SharingConfig
 from molespur.fleet.shedding import ACT_MS, LIFE_MS, Load, LoadJudge, Pace, from_bytes, to_bytes
 from molespur.fleet.watching import Watching
@@ -24,7 +24,7 @@
     def begin(self, n):
         self.n, self.now, self.ask = n, 1_000.0, 0
         self.share = SharingConfig(size=n, retry_ratio=self.RATIO, retry_floor=self.FLOOR)
-        self.members = [Retries(self.share, self.now) for _ in range(n)]
+        self.members = [RetryBudget(self.share, self.now) for _ in range(n)]
         self.firsts = self.retries = self.restarts = 0
         self.wire: list = []
 
@@ -35,7 +35,7 @@
     @rule(i=st.integers(0, 5), many=st.integers(1, 40))
     def first_attempts(self, i, many):
         for _ in range(many):
-            self.members[i % self.n].first(self.now)
+            self.members[i % self.n].record_first_attempt(self.now)
         self.firsts += many
 
     @rule(i=st.integers(0, 5), many=st.integers(1, 20))
@@ -61,7 +61,7 @@
 
     @rule(i=st.integers(0, 5))
     def starts_anew(self, i):
-        self.members[i % self.n] = Retries(self.share, self.now)
+        self.members[i % self.n] = RetryBudget(self.share, self.now)
         self.wire = [w for w in self.wire if w[0] != i % self.n]  # its asks were its earlier life's
 
     @invariant()
@@ -76,13 +76,13 @@
 
 def test_a_calm_saves_up_for_no_storm_and_one_that_lacks_is_given_to():
     share = SharingConfig(size=2, retry_ratio=0.1, retry_floor=0.0)
-    rich, poor = Retries(share, 0.0), Retries(share, 0.0)
+    rich, poor = RetryBudget(share, 0.0), RetryBudget(share, 0.0)
     for ms in range(0, 100_000, 10):  # 100 first attempts a second
-        rich.first(float(ms))
+        rich.record_first_attempt(float(ms))
     assert rich.available(100_000.0) <= 20.0 + 1e-6, "rights of two seconds"
     poor.record_denial()
-    lack = poor.lacking(100_000.0)
-    assert lack == 1.0 and poor.lacking(100_000.0) == 0.0
+    lack = poor.shortfall(100_000.0)
+    assert lack == 1.0 and poor.shortfall(100_000.0) == 0.0
     assert poor.take(1, rich.give(lack, 100_000.0)) and poor.available(100_000.0) == 1.0
     assert not poor.take(1, 1.0), "the same gift twice"
     assert poor.spend(100_000.0) and not poor.spend(100_000.0)
--- a/tests/fleet/test_state.py
+++ b/tests/fleet/test_state.py
@@ -8,7 +8,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from molespur.fleet import shared, wire
-from molespur.fleet.crdt import Counts, HybridClock, LWWMap, Register, Row, Stamp
+from molespur.fleet.crdt import CounterRow, FleetCounters, HybridClock, LWWMap, Register, Stamp
 from molespur.fleet.evidence import Evidence, Own
 from molespur.fleet.judgements import BAD, Judgements
 from molespur.fleet.rendezvous import Spread, pick
@@ -28,7 +28,7 @@
 
 MEMBERS = st.sampled_from(["a", "b", "c", "d"])
 pairs = st.tuples(st.integers(0, 50), st.integers(0, 50))
-rows = st.builds(Row, st.just("a"), st.integers(1, 3), st.dictionaries(st.sampled_from("xyz"), pairs))
+rows = st.builds(CounterRow, st.just("a"), st.integers(1, 3), st.dictionaries(st.sampled_from("xyz"), pairs))
 stamps = st.builds(Stamp, st.integers(0, 20), st.integers(0, 3), MEMBERS)
 registers = st.builds(Register, stamps, st.one_of(st.none(), st.binary(max_size=2)))
 lww_maps = st.builds(LWWMap, st.dictionaries(st.sampled_from("pqrstu"), registers), st.just(4))
@@ -61,18 +61,18 @@
 
 
 def test_counts_go_on_after_a_restart_and_are_not_counted_twice():
-    peer, first = Counts("p", 1), Counts("a", 100)
+    peer, first = FleetCounters("p", 1), FleetCounters("a", 100)
     first.add("sent", 7)
     first.add("open", 3)
     first.add("open", -2)
     peer.merge(first.rows["a"], 0.0)
-    again = Counts("a", 50)  # its clock went back between its lives
+    again = FleetCounters("a", 50)  # its clock went back between its lives
     again.add("sent", 2)
     for _ in range(3):
         again.merge(peer.rows["a"], 10.0)
         peer.merge(again.rows["a"], 10.0)
     assert (again.total("sent"), peer.total("sent"), peer.total("open")) == (9, 9, 1)
-    late = Counts("a", 300)
+    late = FleetCounters("a", 300)
     assert not late.merge(peer.rows["a"], 100_000.0), "so late it is another process under our id"
 
 
@@ -453,7 +453,7 @@
     made.unix_off[4] = off  # one member's clock is ahead
     rng, met = random.Random(7), {"w0": 0, "w1": 0}
     began = made.now
-    while made.now < began + 20_000 and not made.shared[0].bad(made.clock(0)):
+    while made.now < began + 20_000 and not made.shared[0].bad_workers(made.clock(0)):
         made.run(made.now + 100)
         for i in range(9):
             if rng.random() < 0.2:
@@ -462,11 +462,11 @@
                 met[worker] = met.get(worker, 0) + 1
                 made.tell(i, shared.RequestEnded(worker, failed))
     made.run(made.now + 1_500)
-    assert all(x.bad(made.clock(i)) == {"w0"} for i, x in enumerate(made.shared))
+    assert all(x.bad_workers(made.clock(i)) == {"w0"} for i, x in enumerate(made.shared))
     assert met["w0"] < 30, "where each of nine alone would need three of its own"
     assert {a.worker for _, _, a in judged(made)} == {"w0"}
     made.run(made.now + 12_000)
-    assert not any(x.bad(made.clock(i)) for i, x in enumerate(made.shared)), "it ages out"
+    assert not any(x.bad_workers(made.clock(i)) for i, x in enumerate(made.shared)), "it ages out"
     assert any(isinstance(a, shared.JudgementExpired) for _, _, a in made.notes)
 
 
@@ -489,4 +489,4 @@
     assert wire.decode(wire.encode("c", Shortfall("x" * 97, 1.0)), "c", 1400)[1] == "malformed"
     many = LoanRequest(1, "a", 1, 1, [Shortfall("cold/w", 1.0)] * 65)
     assert wire.decode(wire.encode("c", many), "c", 4000)[1] == "malformed"
-    assert wire.decode_whole(b"\x93\x01")[1] == "malformed" and wire.decode_whole(b"\xc0") == (None, "")
+    assert wire.decode_snapshot(b"\x93\x01")[1] == "malformed" and wire.decode_snapshot(b"\xc0") == (None, "")
