--- a/molespur/fleet/gossip.py
+++ b/molespur/fleet/gossip.py
@@ -41,12 +41,12 @@
 PUBLISH_MS = 1_000.0  # counters and gauges are copied out this often
 
 
-class Link:
+class Transport:
     """One member on the network.
 
     `membership` is the pure machine; `bind` the address to listen on (UDP and TCP, the same port), which may
     differ from the one advertised in the machine (behind a fault line, say).  Raises OSError at `open` where
-    the address can't be had.  `state.StateLink` shares state beside the view: the hooks are its.
+    the address can't be had.  `state.StateTransport` shares state beside the view: the hooks are its.
     """
 
     machine = None  # the pure machine of shared state, where state is shared
@@ -140,7 +140,7 @@
             self.publish()
         self.wheel.after(self.tick_ms, self._tick)
 
-    # -- Hooks for shared state (`state.StateLink`) ----------------------------------------------
+    # -- Hooks for shared state (`state.StateTransport`) ----------------------------------------------
 
     def _ticked(self, now: float) -> None:
         """The view's timers have been looked at."""
--- a/molespur/fleet/state.py
+++ b/molespur/fleet/state.py
@@ -1,8 +1,8 @@
-"""The fleet's seam with shared state: `gossip.Link`, and beside the view what `shared.SharedState` says.
+"""The fleet's seam with shared state: `gossip.Transport`, and beside the view what `shared.SharedState` says.
 
 It holds no rule of its own: it brings messages and what became of upstream requests to the pure machine,
-carries out what that says, and holds the program to its budgets (`uses.Uses`) at each tick, and at once
-where something was lent.  Counters are `fleet.shared.*`.
+carries out what that says, and applies the budgets to the program (`uses.FleetAdapter`) at each tick, and at
+once where something was lent.  Counters are `fleet.shared.*`.
 """
 
 import time
@@ -10,7 +10,7 @@
 
 from .. import logs
 from . import wire
-from .gossip import Link
+from .gossip import Transport
 from .model import Address, State
 from .shared import (
     JudgementExpired,
@@ -28,15 +28,15 @@
     report,
 )
 from .sharing import StateMessage
-from .uses import Uses
+from .uses import FleetAdapter
 
 log = logs.get(__name__)
 
 
-class StateLink(Link):
-    """One member on the network that shares state; `share` joins it before `open`."""
+class StateTransport(Transport):
+    """One member on the network that shares state; `attach_state` joins it before `open`."""
 
-    def share(self, machine: SharedState, uses: Uses, adapts: bool) -> None:
+    def attach_state(self, machine: SharedState, uses: FleetAdapter, adapts: bool) -> None:
         """Share state by this pure machine, for these uses; `adapts`: limits follow the service time."""
         self.machine, self.uses = machine, uses
         self._viewed: dict[str, Address] | None = None  # who lives, as the machine was told
--- a/molespur/fleet/uses.py
+++ b/molespur/fleet/uses.py
@@ -40,7 +40,7 @@
 }
 
 
-def kinds(settings, connections: int, cold: bool) -> dict[str, BudgetKind]:
+def budget_kinds(settings, connections: int, cold: bool) -> dict[str, BudgetKind]:
     """The budgets that are shared: a cold worker's, where the settings have one, and a worker's connections.
 
     A connection may be in use for as long as the longest deadline after the right to it is over.
@@ -71,7 +71,7 @@
         return bool(self.multiple and usual and elapsed_ms > self.multiple * usual)
 
 
-class Uses:
+class FleetAdapter:
     """One scheduler's uses of what the fleet shares.
 
     `connect` joins it to the shared state: `machine` the pure part, `tell(event)` brings it an event and
--- a/molespur/scheduler.py
+++ b/molespur/scheduler.py
@@ -165,7 +165,7 @@
             return
         import random
 
-        from .fleet.gossip import Link
+        from .fleet.gossip import Transport
         from .fleet.seeds import read_seeds
         from .fleet.swim import Membership
 
@@ -174,7 +174,7 @@
         rng = random.Random(self.config.seed ^ 0x5F1EE7)
         membership = Membership(part.id or self.config.name, advertise, part.tuning(), rng, part.cluster)
         parts = (membership, bind, part.tick_ms, self.wheel, self.clock, self.counters)
-        link = self._share(parts, rng) if self.fleet_given.shared.enabled else Link(*parts)
+        link = self._share(parts, rng) if self.fleet_given.shared.enabled else Transport(*parts)
         try:
             await link.open()
         except OSError as problem:
@@ -190,17 +190,17 @@
         import time
 
         from .fleet.shared import SharedState
-        from .fleet.state import StateLink
-        from .fleet.uses import Uses, kinds
+        from .fleet.state import StateTransport
+        from .fleet.uses import FleetAdapter, budget_kinds
 
-        part, settings, link = self.fleet_given.shared, self.config.settings, StateLink(*parts)
+        part, settings, link = self.fleet_given.shared, self.config.settings, StateTransport(*parts)
         given = (self.clock, self.counters, part.slow_multiple, rng)
-        uses = Uses(self.host, self.upstream, self.cluster, *given)
-        share = part.share(kinds(settings, part.connections, part.cold), settings)
+        uses = FleetAdapter(self.host, self.upstream, self.cluster, *given)
+        share = part.share(budget_kinds(settings, part.connections, part.cold), settings)
         me, life, most = link.membership.me, int(time.time() * 1000), link.tuning.datagram_most
         now, name = self.clock.now(), self.fleet_part.cluster
         machine = SharedState(me, life, share, name, rng, uses.used, now, most, uses.loads)
-        link.share(machine, uses, part.adapts)
+        link.attach_state(machine, uses, part.adapts)
         return link
 
     async def _seeds_from_registry(self, member: str, advertise, seeds: tuple) -> tuple:
