--- a/molespur/config/deployment.py
+++ b/molespur/config/deployment.py
@@ -130,7 +130,8 @@
             suspicion_mult=self.suspicion_mult, suspicion_max_mult=self.suspicion_max_mult,
             retransmit_mult=self.retransmit_mult, gossip_ms=self.gossip_ms, gossip_nodes=self.gossip_nodes,
             push_pull_ms=self.push_pull_ms, tombstone_ms=self.tombstone_ms, most_members=self.most_members,
-            datagram_most=self.datagram_most, lag_ms=max(5 * self.tick_ms, self.probe_timeout_ms / 2),
+            datagram_most=self.datagram_most,
+            stall_threshold_ms=max(5 * self.tick_ms, self.probe_timeout_ms / 2),
         )  # fmt: skip
 
 
--- a/molespur/fleet/gossip.py
+++ b/molespur/fleet/gossip.py
@@ -21,9 +21,9 @@
     Conflict,
     Leave,
     Membership,
-    Merged,
     Push,
     PushFailed,
+    PushSucceeded,
     Received,
     Refuted,
     Seeds,
@@ -105,7 +105,7 @@
     def members(self) -> list[str]:
         """The view as lines: id, address, state, incarnation, for how long (s)."""
         now, lines = self.clock.now(), []
-        for row in self.membership.seen():
+        for row in self.membership.view():
             since = 0.0 if row.member == self.membership.me else (now - row.since_ms) / 1000
             place = "{}:{}".format(*row.address)
             lines.append(f"{row.member} {place} {row.state.name.lower()} {row.incarnation} {since:.1f}")
@@ -246,7 +246,7 @@
                 self._do(self.membership.handle(now, PushFailed(push.address, push.join)))
             else:
                 self.counters["fleet.bytes_sent"] += len(push.data)
-                self._do(self.membership.handle(now, Merged(exchange)))
+                self._do(self.membership.handle(now, PushSucceeded(exchange)))
                 self._carried(exchange)
 
     async def _exchange(self, push: Push):
@@ -256,7 +256,7 @@
             await sock.connect(push.address)
             stream = trio.SocketStream(sock)
             await stream.send_all(push.data)
-            body, why = await _read_state(stream, self.tuning.exchange_most)
+            body, why = await _read_state(stream, self.tuning.max_exchange_bytes)
             if body is None:
                 return None, why
             return wire.decode_exchange(body, self.membership.cluster)
@@ -281,14 +281,14 @@
         async with self._answers:
             try:
                 with self.wheel.limit(PUSH_MS) as late:
-                    body, why = await _read_state(stream, self.tuning.exchange_most)
+                    body, why = await _read_state(stream, self.tuning.max_exchange_bytes)
                     if body is not None:
                         exchange, why = wire.decode_exchange(body, self.membership.cluster)
                     if body is None or exchange is None:
                         self.counters["fleet.exchange_dropped." + why] += 1
                         return
                     self._carried(exchange)
-                    answer, actions = self.membership.answer(self.clock.now(), exchange)
+                    answer, actions = self.membership.answer_push(self.clock.now(), exchange)
                     self._do(actions)
                     await stream.send_all(answer)
                     self.counters["fleet.bytes_sent"] += len(answer)
--- a/molespur/fleet/model.py
+++ b/molespur/fleet/model.py
@@ -21,7 +21,7 @@
 Host = Annotated[str, Meta(max_length=64)]
 Port = Annotated[int, Meta(ge=0, le=65535)]
 Count = Annotated[int, Meta(ge=0, le=2**63 - 1)]
-NEWS_MOST = 64  # pieces of news in one datagram; more than fit anyway
+MAX_UPDATES = 64  # pieces of news in one datagram; more than fit anyway
 
 
 class State(enum.IntEnum):
@@ -33,7 +33,7 @@
     LEFT = 3  # said that it leaves: kept as a tombstone, never taken for a failure
 
 
-class News(msgspec.Struct, array_like=True, frozen=True):
+class MemberUpdate(msgspec.Struct, array_like=True, frozen=True):
     """What one member says of another (or of itself): its state at an incarnation.
 
     `by` is who says so first: for a suspicion, each other one is an independent confirmation.
@@ -59,7 +59,7 @@
     host: Host
     port: Port
     target: Id
-    news: Annotated[list[News], Meta(max_length=NEWS_MOST)] = []
+    updates: Annotated[list[MemberUpdate], Meta(max_length=MAX_UPDATES)] = []
 
 
 class Ack(msgspec.Struct, array_like=True, tag=2):
@@ -67,7 +67,7 @@
 
     seq: Count
     src: Id
-    news: Annotated[list[News], Meta(max_length=NEWS_MOST)] = []
+    updates: Annotated[list[MemberUpdate], Meta(max_length=MAX_UPDATES)] = []
 
 
 class PingReq(msgspec.Struct, array_like=True, tag=3):
@@ -81,7 +81,7 @@
     target_host: Host
     target_port: Port
     nack: bool = True
-    news: Annotated[list[News], Meta(max_length=NEWS_MOST)] = []
+    updates: Annotated[list[MemberUpdate], Meta(max_length=MAX_UPDATES)] = []
 
 
 class Nack(msgspec.Struct, array_like=True, tag=4):
@@ -89,14 +89,14 @@
 
     seq: Count
     src: Id
-    news: Annotated[list[News], Meta(max_length=NEWS_MOST)] = []
+    updates: Annotated[list[MemberUpdate], Meta(max_length=MAX_UPDATES)] = []
 
 
 class Gossip(msgspec.Struct, array_like=True, tag=5):
     """News alone, sent to a few members each gossip period."""
 
     src: Id
-    news: Annotated[list[News], Meta(max_length=NEWS_MOST)] = []
+    updates: Annotated[list[MemberUpdate], Meta(max_length=MAX_UPDATES)] = []
 
 
 Message = Ping | Ack | PingReq | Nack | Gossip
@@ -117,7 +117,7 @@
     cluster: Annotated[str, Meta(max_length=64)]
     src: Id
     join: bool
-    members: Annotated[list[News], Meta(max_length=65_536)]
+    members: Annotated[list[MemberUpdate], Meta(max_length=65_536)]
     shared_state: msgspec.Raw = msgspec.Raw(
         b"\xc0"
     )  # the shared state (`sharing.StateSnapshot`), nil where there is none
@@ -139,12 +139,12 @@
     gossip_ms: float = 200.0
     gossip_nodes: int = 3
     push_pull_ms: float = 15_000.0
-    health_most: int = 8  # Lifeguard's local health: timeouts stretch up to (health_most + 1) times
-    lag_ms: float = 250.0  # a gap this long between two calls means that we ourselves were held
+    max_health: int = 8  # Lifeguard's local health: timeouts stretch up to (max_health + 1) times
+    stall_threshold_ms: float = 250.0  # a gap this long between two calls means that we ourselves were held
     tombstone_ms: float = 60_000.0
     most_members: int = 1024
     datagram_most: int = 1400  # bytes of a datagram, sent or taken
-    exchange_most: int = 1 << 20  # bytes of a push-pull state
+    max_exchange_bytes: int = 1 << 20  # bytes of a push-pull state
     join_retry_ms: float = 2_000.0
     leave_ms: float = 1_000.0
 
@@ -172,7 +172,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class MemberInfo:
     """One member as a view holds it, for readers outside the machine."""
 
     member: str
--- a/molespur/fleet/swim/__init__.py
+++ b/molespur/fleet/swim/__init__.py
@@ -24,9 +24,9 @@
     Changed,
     Conflict,
     Leave,
-    Merged,
     Push,
     PushFailed,
+    PushSucceeded,
     Received,
     Refuted,
     Seeds,
@@ -36,6 +36,6 @@
 )
 
 __all__ = [
-    "Changed", "Conflict", "Leave", "Member", "Membership", "Merged", "Push", "PushFailed", "Received",
+    "Changed", "Conflict", "Leave", "Member", "Membership", "Push", "PushFailed", "PushSucceeded", "Received",
     "Refuted", "Seeds", "Send", "Start", "Suspicion", "Tick",
 ]  # fmt: skip
--- a/molespur/fleet/swim/exchange.py
+++ b/molespur/fleet/swim/exchange.py
@@ -1,8 +1,8 @@
 """Whole views by TCP: joining, push-pulls, and what another member's view changes here."""
 
 from .. import wire
-from ..model import Exchange, Gossip, News, State
-from .members import QueuedNews
+from ..model import Exchange, Gossip, MemberUpdate, State
+from .members import QueuedUpdate
 from .records import Changed, Push, Start
 from .verdicts import Verdicts
 
@@ -41,19 +41,19 @@
         if self.leaving or not self.started:
             return
         self.leaving = True
-        left = News(self.me, self.address[0], self.address[1], self.incarnation, State.LEFT, self.me)
-        self._queue[self.me] = QueuedNews(left)
+        left = MemberUpdate(self.me, self.address[0], self.address[1], self.incarnation, State.LEFT, self.me)
+        self._queue[self.me] = QueuedUpdate(left)
         others = self.alive()
         for member_id in self.rng.sample(others, min(len(others), 2 * self.tuning.gossip_nodes)):
             self._send(self.members[member_id].address, Gossip(self.me, [left]))
         self._probe = None
 
     def _state(self, join: bool) -> bytes:
-        own = News(
+        own = MemberUpdate(
             self.me, self.address[0], self.address[1], self.incarnation,
             State.LEFT if self.leaving else State.ALIVE, self.me,
         )  # fmt: skip
-        members = [own] + [m.news() for m in self.members.values()]
+        members = [own] + [m.as_update() for m in self.members.values()]
         return wire.encode_exchange(self.cluster, self.me, join, members, self.shared_state())
 
     def _push_pull(self) -> None:
@@ -85,7 +85,9 @@
         if exchange.join:
             self.counts["joins"] += 1
         self.joined = True
-        for news in exchange.members[: self.tuning.most_members + 1]:
-            if news.state is State.DEAD:
-                news = News(news.member, news.host, news.port, news.incarnation, State.SUSPECT, exchange.src)
-            self._apply(now, news)
+        for update in exchange.members[: self.tuning.most_members + 1]:
+            if update.state is State.DEAD:
+                update = MemberUpdate(
+                    update.member, update.host, update.port, update.incarnation, State.SUSPECT, exchange.src
+                )
+            self._apply(now, update)
--- a/molespur/fleet/swim/members.py
+++ b/molespur/fleet/swim/members.py
@@ -3,7 +3,7 @@
 import math
 
 from .. import wire
-from ..model import Address, News, State
+from ..model import Address, MemberUpdate, State
 
 
 class Suspicion:
@@ -41,9 +41,9 @@
         self.state, self.since = state, since
         self.suspicion: Suspicion | None = None
 
-    def news(self, by: str = "") -> News:
+    def as_update(self, by: str = "") -> MemberUpdate:
         """What this view holds of it, as told by a member."""
-        return News(self.id, self.address[0], self.address[1], self.incarnation, self.state, by)
+        return MemberUpdate(self.id, self.address[0], self.address[1], self.incarnation, self.state, by)
 
 
 class Probe:
@@ -65,10 +65,10 @@
         self.requester, self.their_seq, self.nack, self.until = requester, their_seq, nack, until
 
 
-class QueuedNews:
+class QueuedUpdate:
     """News that still has to be told, and how often it was."""
 
-    __slots__ = ("news", "sent", "size")
+    __slots__ = ("sent", "size", "update")
 
-    def __init__(self, news: News):
-        self.news, self.sent, self.size = news, 0, wire.news_size(news)
+    def __init__(self, update: MemberUpdate):
+        self.update, self.sent, self.size = update, 0, wire.update_size(update)
--- a/molespur/fleet/swim/membership.py
+++ b/molespur/fleet/swim/membership.py
@@ -3,7 +3,7 @@
 from ..model import Ack, Exchange, Message, Nack, Ping, PingReq, State
 from .exchange import Exchanging
 from .probing import Probing
-from .records import Leave, Merged, PushFailed, Received, Seeds, Start, Tick
+from .records import Leave, PushFailed, PushSucceeded, Received, Seeds, Start, Tick
 
 PURGE_EVERY_MS = 1_000.0
 RECONNECT_PERIODS = 2.0  # a member held failed is pinged this often, in probe periods
@@ -12,8 +12,8 @@
 class Membership(Probing, Exchanging):
     """One member's view of the fleet, and what it sends to keep it.
 
-    `handle(now, event) -> list of actions`; `answer(now, exchange) -> (bytes, actions)` for a push-pull
-    that another member opened; `seen()` the view.  `counts` holds what happened, by name.
+    `handle(now, event) -> list of actions`; `answer_push(now, exchange) -> (bytes, actions)` for a push-pull
+    that another member opened; `view()` the view.  `counts` holds what happened, by name.
     """
 
     # -- The two entries -----------------------------------------------------------------------
@@ -26,7 +26,7 @@
             self._received(now, event.message)
         elif isinstance(event, Start):
             self._start(now, event)
-        elif isinstance(event, Merged):
+        elif isinstance(event, PushSucceeded):
             self._merge(now, event.exchange)
         elif isinstance(event, PushFailed):
             self.counts["push_failed"] += 1
@@ -39,7 +39,7 @@
             self._timers(now)
         return self._out
 
-    def answer(self, now: float, exchange: Exchange) -> tuple[bytes, list]:
+    def answer_push(self, now: float, exchange: Exchange) -> tuple[bytes, list]:
         """Another member pushed its view: merge it, and answer with ours as it is after that."""
         self._out = []
         self._held(now)
@@ -54,7 +54,7 @@
 
         What fell due meanwhile is put off by the gap, so that acks that waited for us are read first.
         """
-        if self._last is not None and now - self._last > self.tuning.lag_ms:
+        if self._last is not None and now - self._last > self.tuning.stall_threshold_ms:
             gap = now - self._last
             self.counts["held"] += 1
             self._raise_health(1)
@@ -107,8 +107,8 @@
     def _received(self, now: float, message: Message) -> None:
         if not self.started:
             return
-        for news in message.news:
-            self._apply(now, news)
+        for update in message.updates:
+            self._apply(now, update)
         if isinstance(message, Ping):
             self._pinged(message)
         elif isinstance(message, Ack):
--- a/molespur/fleet/swim/probing.py
+++ b/molespur/fleet/swim/probing.py
@@ -2,7 +2,7 @@
 
 import hashlib
 
-from ..model import Ack, Nack, News, Ping, PingReq, State
+from ..model import Ack, MemberUpdate, Nack, Ping, PingReq, State
 from .members import Member, Probe, Relay
 from .verdicts import Verdicts
 
@@ -23,8 +23,10 @@
         timeout = now + tuning.scaled(tuning.probe_timeout_ms, self.health)
         self._probe = Probe(target.id, self._seq, timeout, self._next_probe)
         self.counts["probes"] += 1
-        buddy = target.news(self.me) if target.state is State.SUSPECT else None
-        self._send(target.address, Ping(self._seq, self.me, *self.address, target.id, self._news(buddy)))
+        buddy = target.as_update(self.me) if target.state is State.SUSPECT else None
+        self._send(
+            target.address, Ping(self._seq, self.me, *self.address, target.id, self._take_updates(buddy))
+        )
 
     def _next_target(self, now: float) -> Member | None:
         """Shuffled round robin, with the same shuffle at every member, shifted by one each period.
@@ -67,7 +69,7 @@
         chosen = self.rng.sample(helpers, min(len(helpers), self.tuning.indirect))
         for helper in chosen:
             request = PingReq(
-                probe.seq, self.me, *self.address, target.id, *target.address, True, self._news()
+                probe.seq, self.me, *self.address, target.id, *target.address, True, self._take_updates()
             )  # fmt: skip
             self._send(self.members[helper].address, request)
         probe.expected_nacks = len(chosen)
@@ -85,14 +87,14 @@
         if target is not None and target.state <= State.SUSPECT:
             # held suspect already, ours is an independent confirmation, which shortens the timeout
             self.counts["suspicions"] += 1
-            said = News(target.id, *target.address, target.incarnation, State.SUSPECT, self.me)
+            said = MemberUpdate(target.id, *target.address, target.incarnation, State.SUSPECT, self.me)
             self._suspect(now, said)
 
     def _expire_relays(self, now: float) -> None:
         for seq in [seq for seq, relay in self._relays.items() if now >= relay.until]:
             relay = self._relays.pop(seq)
             if relay.nack:
-                self._send(relay.requester, Nack(relay.their_seq, self.me, self._news()))
+                self._send(relay.requester, Nack(relay.their_seq, self.me, self._take_updates()))
                 self.counts["nacks_sent"] += 1
 
     def _reconnect(self) -> None:
@@ -104,7 +106,9 @@
         member = self.rng.choice(failed)
         self._seq += 1
         self.counts["reconnects"] += 1
-        ping = Ping(self._seq, self.me, *self.address, member.id, self._news(member.news(self.me)))
+        ping = Ping(
+            self._seq, self.me, *self.address, member.id, self._take_updates(member.as_update(self.me))
+        )
         self._send(member.address, ping)
 
     def _pinged(self, ping: Ping) -> None:
@@ -113,8 +117,8 @@
             return
         held = self.members.get(ping.src)
         # a member that we hold failed is told so, so that it refutes and is not a ghost in our view
-        hint = held.news(self.me) if held is not None and held.state is not State.ALIVE else None
-        self._send((ping.host, ping.port), Ack(ping.seq, self.me, self._news(hint)))
+        hint = held.as_update(self.me) if held is not None and held.state is not State.ALIVE else None
+        self._send((ping.host, ping.port), Ack(ping.seq, self.me, self._take_updates(hint)))
 
     def _acked(self, ack: Ack) -> None:
         probe = self._probe
@@ -125,13 +129,13 @@
             return
         relay = self._relays.pop(ack.seq, None)
         if relay is not None:
-            self._send(relay.requester, Ack(relay.their_seq, ack.src, self._news()))
+            self._send(relay.requester, Ack(relay.their_seq, ack.src, self._take_updates()))
             return
         self.counts["acks_late"] += 1
 
     def _asked(self, now: float, request: PingReq) -> None:
         if request.target == self.me:
-            self._send((request.host, request.port), Ack(request.seq, self.me, self._news()))
+            self._send((request.host, request.port), Ack(request.seq, self.me, self._take_updates()))
             return
         if len(self._relays) >= RELAYS_MOST:
             self._relays.pop(next(iter(self._relays)))
@@ -142,5 +146,5 @@
         until = now + NACK_SHARE * (self.tuning.period_ms - self.tuning.probe_timeout_ms)
         self._relays[self._seq] = Relay((request.host, request.port), request.seq, request.nack, until)
         target = (request.target_host, request.target_port)
-        self._send(target, Ping(self._seq, self.me, *self.address, request.target, self._news()))
+        self._send(target, Ping(self._seq, self.me, *self.address, request.target, self._take_updates()))
         self.counts["indirect_served"] += 1
--- a/molespur/fleet/swim/records.py
+++ b/molespur/fleet/swim/records.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Merged:
+class PushSucceeded:
     """The answer to our `Push`: the other member's view."""
 
     exchange: Exchange
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Push:
-    """Open TCP, send this state, read the answer, and hand it in as `Merged` (or `PushFailed`)."""
+    """Open TCP, send this state, read the answer, and hand it in as `PushSucceeded` (or `PushFailed`)."""
 
     address: Address
     data: bytes
--- a/molespur/fleet/swim/state.py
+++ b/molespur/fleet/swim/state.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 
 from .. import wire
-from ..model import Address, Gossip, Message, News, Seen, State, Tuning
-from .members import Member, Probe, QueuedNews, Relay
+from ..model import Address, Gossip, MemberInfo, MemberUpdate, Message, State, Tuning
+from .members import Member, Probe, QueuedUpdate, Relay
 from .records import Send
 
 HEADROOM = 160  # bytes of a datagram kept for what is not news
-MOST_NEWS = 60  # pieces in one datagram
+MAX_UPDATES_PER_DATAGRAM = 60  # pieces in one datagram
 
 
 class MembershipState:
@@ -43,7 +43,7 @@
         self._probe: Probe | None = None
         self._seq = 0
         self._relays: dict[int, Relay] = {}
-        self._queue: dict[str, QueuedNews] = {}
+        self._queue: dict[str, QueuedUpdate] = {}
         self._seeds: tuple[Address, ...] = ()
         self._last: float | None = None
         self._next_probe = self._next_gossip = self._next_push = self._next_purge = 0.0
@@ -56,12 +56,12 @@
 
     # -- Reading -------------------------------------------------------------------------------
 
-    def seen(self) -> list[Seen]:
+    def view(self) -> list[MemberInfo]:
         """The view: this member first, the others by id."""
         own = State.LEFT if self.leaving else State.ALIVE
-        rows = [Seen(self.me, self.address, self.incarnation, own, 0.0)]
+        rows = [MemberInfo(self.me, self.address, self.incarnation, own, 0.0)]
         for member in sorted(self.members.values(), key=lambda m: m.id):
-            rows.append(Seen(member.id, member.address, member.incarnation, member.state, member.since))
+            rows.append(MemberInfo(member.id, member.address, member.incarnation, member.state, member.since))
         return rows
 
     def alive(self) -> list[str]:
@@ -80,22 +80,22 @@
         self.counts["sent"] += 1
         self._out.append(Send(address, wire.encode(self.cluster, message)))
 
-    def _news(self, first: News | None = None) -> list[News]:
+    def _take_updates(self, first: MemberUpdate | None = None) -> list[MemberUpdate]:
         """News for a datagram: least sent first, within its bytes; each goes a bounded number of times."""
         budget = self.tuning.datagram_most - HEADROOM
         chosen = []
         if first is not None:
             chosen.append(first)
-            budget -= wire.news_size(first)
+            budget -= wire.update_size(first)
         if not self._queue:
             return chosen
         most = self.tuning.retransmits(len(self.members) + 1)
         for key, queued in sorted(self._queue.items(), key=lambda item: item[1].sent):
-            if queued.size > budget or len(chosen) >= MOST_NEWS:
+            if queued.size > budget or len(chosen) >= MAX_UPDATES_PER_DATAGRAM:
                 break
-            if first is not None and queued.news.member == first.member:
+            if first is not None and queued.update.member == first.member:
                 continue
-            chosen.append(queued.news)
+            chosen.append(queued.update)
             budget -= queued.size
             queued.sent += 1
             if queued.sent >= most:
@@ -110,10 +110,10 @@
             if m.state is State.DEAD and m.since >= (self._last or 0.0) - self.tuning.period_ms * 2
         ]  # the freshly dead hear of it too, so that they may refute
         for member_id in self.rng.sample(targets, min(len(targets), self.tuning.gossip_nodes)):
-            news = self._news()
-            if not news:
+            updates = self._take_updates()
+            if not updates:
                 return
-            self._send(self.members[member_id].address, Gossip(self.me, news))
+            self._send(self.members[member_id].address, Gossip(self.me, updates))
 
     def _raise_health(self, delta: int) -> None:
-        self.health = min(self.tuning.health_most, max(0, self.health + delta))
+        self.health = min(self.tuning.max_health, max(0, self.health + delta))
--- a/molespur/fleet/swim/verdicts.py
+++ b/molespur/fleet/swim/verdicts.py
@@ -2,8 +2,8 @@
 
 import math
 
-from ..model import Address, News, State
-from .members import Member, QueuedNews, Suspicion
+from ..model import Address, MemberUpdate, State
+from .members import Member, QueuedUpdate, Suspicion
 from .records import Changed, Conflict, Refuted
 from .state import MembershipState
 
@@ -14,88 +14,88 @@
 class Verdicts(MembershipState):
     """Takes news in, and changes what is held of members."""
 
-    def _apply(self, now: float, news: News) -> None:
-        if news.state is State.ALIVE:
-            self._alive(now, news)
-        elif news.state is State.SUSPECT:
-            self._suspect(now, news)
+    def _apply(self, now: float, update: MemberUpdate) -> None:
+        if update.state is State.ALIVE:
+            self._alive(now, update)
+        elif update.state is State.SUSPECT:
+            self._suspect(now, update)
         else:
-            self._dead(now, news)
+            self._dead(now, update)
 
-    def _alive(self, now: float, news: News) -> None:
-        if news.member == self.me:
-            if self.leaving or news.incarnation < self.incarnation:
+    def _alive(self, now: float, update: MemberUpdate) -> None:
+        if update.member == self.me:
+            if self.leaving or update.incarnation < self.incarnation:
                 return
-            if news.address == self.address and news.incarnation == self.incarnation:
+            if update.address == self.address and update.incarnation == self.incarnation:
                 return
-            if news.address != self.address:
-                self._conflict(now, self.me, self.address, news.address)
-            self._refute(news.incarnation, "alive news of us that we did not send")
+            if update.address != self.address:
+                self._conflict(now, self.me, self.address, update.address)
+            self._refute(update.incarnation, "alive news of us that we did not send")
             return
-        member = self.members.get(news.member)
+        member = self.members.get(update.member)
         if member is None:
-            self._add(now, news)
+            self._add(now, update)
             return
-        if news.address != member.address:
-            if member.state <= State.SUSPECT or news.incarnation <= member.incarnation:
-                self._conflict(now, member.id, member.address, news.address)
+        if update.address != member.address:
+            if member.state <= State.SUSPECT or update.incarnation <= member.incarnation:
+                self._conflict(now, member.id, member.address, update.address)
                 return
-        elif news.incarnation <= member.incarnation:
+        elif update.incarnation <= member.incarnation:
             return
         if member.state is State.SUSPECT:
             self.counts["suspicions_refuted"] += 1
-        member.address = news.address
-        self._declare(now, member, State.ALIVE, news.incarnation, news.by)
+        member.address = update.address
+        self._declare(now, member, State.ALIVE, update.incarnation, update.by)
 
-    def _add(self, now: float, news: News) -> None:
+    def _add(self, now: float, update: MemberUpdate) -> None:
         if len(self.members) >= self.tuning.most_members:
             self._purge(now, force=True)
         if len(self.members) >= self.tuning.most_members:
             self.counts["table_full"] += 1
             return
-        member = Member(news.member, news.address, news.incarnation, State.ALIVE, now)
+        member = Member(update.member, update.address, update.incarnation, State.ALIVE, now)
         self.members[member.id] = member
         self._ring_version += 1
-        self._out.append(Changed(member.id, member.address, State.ALIVE, member.incarnation, None, news.by))
-        self._queue[member.id] = QueuedNews(member.news(news.by))
+        self._out.append(Changed(member.id, member.address, State.ALIVE, member.incarnation, None, update.by))
+        self._queue[member.id] = QueuedUpdate(member.as_update(update.by))
 
-    def _suspect(self, now: float, news: News) -> None:
-        if news.member == self.me:
-            if not self.leaving and news.incarnation >= self.incarnation:
+    def _suspect(self, now: float, update: MemberUpdate) -> None:
+        if update.member == self.me:
+            if not self.leaving and update.incarnation >= self.incarnation:
                 self._raise_health(1)
-                self._refute(news.incarnation, f"suspected by {news.by}")
+                self._refute(update.incarnation, f"suspected by {update.by}")
             return
-        member = self.members.get(news.member)
-        if member is None or news.incarnation < member.incarnation or member.state > State.SUSPECT:
+        member = self.members.get(update.member)
+        if member is None or update.incarnation < member.incarnation or member.state > State.SUSPECT:
             return
         if member.state is State.SUSPECT:
-            if member.suspicion is not None and member.suspicion.confirm(news.by):
+            if member.suspicion is not None and member.suspicion.confirm(update.by):
                 self.counts["confirmations"] += 1
-                self._queue[member.id] = QueuedNews(member.news(news.by))
+                self._queue[member.id] = QueuedUpdate(member.as_update(update.by))
             return
-        self._declare(now, member, State.SUSPECT, news.incarnation, news.by)
+        self._declare(now, member, State.SUSPECT, update.incarnation, update.by)
         n = len(self.members) + 1
         least, most = self.tuning.suspicion_bounds(n)
         k = max(0, min(int(self.tuning.suspicion_mult) - 2, n - 2))
-        member.suspicion = Suspicion(now, least, most, k, news.by)
+        member.suspicion = Suspicion(now, least, most, k, update.by)
         self._suspects.add(member.id)
 
     def _due(self, member_id: str, now: float) -> bool:
         suspicion = self.members[member_id].suspicion
         return suspicion is not None and now >= suspicion.deadline()
 
-    def _dead(self, now: float, news: News) -> None:
-        left = news.state is State.LEFT
-        if news.member == self.me:
-            if not self.leaving and news.incarnation >= self.incarnation:
-                self._refute(news.incarnation, f"declared {news.state.name.lower()} by {news.by}")
+    def _dead(self, now: float, update: MemberUpdate) -> None:
+        left = update.state is State.LEFT
+        if update.member == self.me:
+            if not self.leaving and update.incarnation >= self.incarnation:
+                self._refute(update.incarnation, f"declared {update.state.name.lower()} by {update.by}")
             return
-        member = self.members.get(news.member)
-        if member is None or news.incarnation < member.incarnation or member.state is State.LEFT:
+        member = self.members.get(update.member)
+        if member is None or update.incarnation < member.incarnation or member.state is State.LEFT:
             return
         if member.state is State.DEAD and not left:
             return
-        self._declare(now, member, news.state, news.incarnation, news.by)
+        self._declare(now, member, update.state, update.incarnation, update.by)
 
     def _declare(self, now: float, member: Member, state: State, incarnation: int, by: str) -> None:
         before = member.state
@@ -108,13 +108,13 @@
         if state is State.DEAD:
             self.counts["declared_dead"] += 1
         self._out.append(Changed(member.id, member.address, state, incarnation, before, by))
-        self._queue[member.id] = QueuedNews(member.news(by))
+        self._queue[member.id] = QueuedUpdate(member.as_update(by))
 
     def _refute(self, incarnation: int, why: str) -> None:
         self.incarnation = max(self.incarnation, incarnation) + 1
         self.counts["refutations"] += 1
-        own = News(self.me, self.address[0], self.address[1], self.incarnation, State.ALIVE, self.me)
-        self._queue[self.me] = QueuedNews(own)
+        own = MemberUpdate(self.me, self.address[0], self.address[1], self.incarnation, State.ALIVE, self.me)
+        self._queue[self.me] = QueuedUpdate(own)
         self._out.append(Refuted(self.incarnation, why))
 
     def _conflict(self, now: float, member: str, held: Address, claimed: Address) -> None:
--- a/molespur/fleet/wire.py
+++ b/molespur/fleet/wire.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from .model import VERSION, Exchange, News, Packet
+from .model import VERSION, Exchange, MemberUpdate, Packet
 from .sharing import AnyMessage, StateSnapshot
 
 LENGTH = struct.Struct("!I")
@@ -36,9 +36,9 @@
     return _encoder.encode(Packet(VERSION, cluster, msgspec.Raw(_encoder.encode(message))))
 
 
-def news_size(news: News) -> int:
+def update_size(update: MemberUpdate) -> int:
     """Bytes that one piece of news adds to a datagram."""
-    return len(_encoder.encode(news))
+    return len(_encoder.encode(update))
 
 
 def _version_of(data: bytes) -> int | None:
@@ -67,7 +67,7 @@
 
 
 def encode_exchange(
-    cluster: str, src: str, join: bool, members: list[News], shared_state: bytes = NOTHING
+    cluster: str, src: str, join: bool, members: list[MemberUpdate], shared_state: bytes = NOTHING
 ) -> bytes:
     """A push-pull state with its length in front; `shared_state` as `encode_snapshot` gives it."""
     body = _encoder.encode(Exchange(VERSION, cluster, src, join, members, msgspec.Raw(shared_state)))
--- a/molespur/standins/virtual_fleet.py
+++ b/molespur/standins/virtual_fleet.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass, field
 
 from ..fleet import wire
-from ..fleet.model import VERSION, Address, Exchange, News, State, Tuning
-from ..fleet.swim import Changed, Membership, Merged, Push, PushFailed, Received, Send, Start, Tick
+from ..fleet.model import VERSION, Address, Exchange, MemberUpdate, State, Tuning
+from ..fleet.swim import Changed, Membership, Push, PushFailed, PushSucceeded, Received, Send, Start, Tick
 
 PUSH_TIMEOUT_MS = 1_000.0
 
@@ -78,9 +78,9 @@
         """
         for i in range(len(self.members)):
             self.start(i, ())
-        said = [News(m.me, *m.address, m.incarnation, State.ALIVE, m.me) for m in self.members]
+        said = [MemberUpdate(m.me, *m.address, m.incarnation, State.ALIVE, m.me) for m in self.members]
         for i, member in enumerate(self.members):
-            self._act(i, member.handle(self.now, Merged(Exchange(VERSION, "v", "", False, said))))
+            self._act(i, member.handle(self.now, PushSucceeded(Exchange(VERSION, "v", "", False, said))))
             member._queue.clear()
 
     def kill(self, i: int) -> None:
@@ -148,7 +148,7 @@
             return
         exchange, _ = wire.decode_exchange(data[4:], "v")
         self._carried(target, exchange)
-        answer, actions = member.answer(self.now, exchange)
+        answer, actions = member.answer_push(self.now, exchange)
         self.pushed_bytes[target] += len(answer)
         self._act(target, actions)
         self._at(self.now + self.line.delay(self.rng), "merged", source, answer, self._lives[source])
@@ -159,7 +159,7 @@
             return
         exchange, _ = wire.decode_exchange(answer[4:], "v")
         self._carried(source, exchange)
-        self._act(source, member.handle(self.now, Merged(exchange)))
+        self._act(source, member.handle(self.now, PushSucceeded(exchange)))
 
     def _carried(self, i: int, exchange) -> None:
         """What rides on a push-pull beside the view."""
@@ -199,7 +199,7 @@
     def views(self) -> dict[int, dict[str, State]]:
         """Each running member's view: id to state, itself included."""
         return {
-            i: {row.member: row.state for row in member.seen()}
+            i: {row.member: row.state for row in member.view()}
             for i, member in enumerate(self.members)
             if member is not None
         }
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -13,7 +13,7 @@
 from far_registry import a_registry
 
 from molespur.fleet import wire
-from molespur.fleet.model import VERSION, Ack, News, Packet, Ping, State
+from molespur.fleet.model import VERSION, Ack, MemberUpdate, Packet, Ping, State
 from molespur.standins import viewcheck
 from molespur.standins.loopback import reserved_net
 from molespur.standins.members import FAST, GOSSIP_PORT, SETTINGS, Members, ask
@@ -204,7 +204,7 @@
     pid, target = fleet.programs[0].pid, (fleet.host(0), GOSSIP_PORT)
     rss = rss_kb(pid)
     real = wire.encode("molespur", Ping(7, "m1", fleet.host(1), GOSSIP_PORT, "m0", [
-        News("m1", fleet.host(1), GOSSIP_PORT, 1, State.ALIVE, "m1")
+        MemberUpdate("m1", fleet.host(1), GOSSIP_PORT, 1, State.ALIVE, "m1")
     ]))  # fmt: skip
     rng = random.Random(21)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
--- a/tests/fleet/test_settings.py
+++ b/tests/fleet/test_settings.py
@@ -42,7 +42,7 @@
     deployment, _ = d.read(None, {}, {"fleet.enabled": "true", "fleet.seeds": "10.0.0.1:7946,10.0.0.2:7946"})
     tuning = deployment.fleet.tuning()
     assert deployment.fleet.enabled and deployment.fleet.seeds == ["10.0.0.1:7946", "10.0.0.2:7946"]
-    assert (tuning.period_ms, tuning.probe_timeout_ms, tuning.lag_ms) == (1000.0, 500.0, 250.0)
+    assert (tuning.period_ms, tuning.probe_timeout_ms, tuning.stall_threshold_ms) == (1000.0, 500.0, 250.0)
 
 
 def test_shared_settings_make_the_share_and_its_mark():
--- a/tests/fleet/test_swim.py
+++ b/tests/fleet/test_swim.py
@@ -10,7 +10,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from molespur.fleet import swim, wire
-from molespur.fleet.model import VERSION, Ack, Gossip, News, Packet, Ping, State, Tuning
+from molespur.fleet.model import VERSION, Ack, Gossip, MemberUpdate, Packet, Ping, State, Tuning
 from molespur.standins.virtual_fleet import VirtualFleet
 
 ME, OTHER = ("10.0.0.1", 7946), ("10.0.0.2", 7946)
@@ -32,7 +32,7 @@
 
 
 def news(member="b", incarnation=5, state=State.ALIVE, by="x", address=OTHER):
-    return News(member, *address, incarnation, state, by)
+    return MemberUpdate(member, *address, incarnation, state, by)
 
 
 # -- One machine, by hand: (what it is told, what must follow) ------------------------------------
@@ -101,12 +101,12 @@
     pings = [
         p for t in range(0, 400, 10) for p in sent(m.handle(float(t), swim.Tick())) if isinstance(p, Ping)
     ]
-    assert pings and pings[0].news[0].member == "b" and pings[0].news[0].state is State.SUSPECT
+    assert pings and pings[0].updates[0].member == "b" and pings[0].updates[0].state is State.SUSPECT
 
 
 def test_a_held_member_reads_before_it_judges_and_waits_longer():
     """Lifeguard's local health: a gap between calls puts the timeouts off, and stretches the next ones."""
-    m = machine(Tuning(period_ms=100, probe_timeout_ms=50, lag_ms=80))
+    m = machine(Tuning(period_ms=100, probe_timeout_ms=50, stall_threshold_ms=80))
     told(m, 1.0, news())
     for t in range(0, 200, 10):
         out = sent(m.handle(float(t), swim.Tick()))
@@ -147,7 +147,7 @@
 def test_news_is_sent_a_bounded_number_of_times():
     m = machine()
     told(m, 1.0, news())
-    count = sum(len(m._news()) for _ in range(50))
+    count = sum(len(m._take_updates()) for _ in range(50))
     assert count == Tuning().retransmits(2)
 
 
@@ -257,10 +257,10 @@
         for member in self.fleet.members:
             if member is not None and member.started:
                 member = copy.deepcopy(member)  # what it would do, not done to the one at play
-                said = News(member.me, *member.address, member.incarnation, State.SUSPECT, "someone")
+                said = MemberUpdate(member.me, *member.address, member.incarnation, State.SUSPECT, "someone")
                 before = member.incarnation
                 member._suspect(self.fleet.now, said)
-                assert member.incarnation > before and member._queue[member.me].news.state is State.ALIVE
+                assert member.incarnation > before and member._queue[member.me].update.state is State.ALIVE
 
     def teardown(self):
         """Once all is healed and running, the views agree again, without a restart."""
