--- a/molespur/fleet/__init__.py
+++ b/molespur/fleet/__init__.py
@@ -1,5 +1,6 @@
-"""Schedulers among themselves: the fleet view (SWIM with Lifeguard), then what they share.
+"""The fleet of schedulers: its membership (SWIM with Lifeguard) and the state that its members share.
 
-Pure parts (`model`, `wire`, `swim`) take events and give actions; `gossip` is the one seam that carries
-them over UDP and TCP.  Nothing of this is imported where the fleet is off.
+The pure parts (`model`, `wire`, `swim` and the parts of `shared`) take events and return actions.  `gossip`
+and `state` are the transport that carries these over UDP and TCP.  Nothing of this is imported where the
+fleet is disabled.
 """
--- a/molespur/fleet/seeds.py
+++ b/molespur/fleet/seeds.py
@@ -1,15 +1,15 @@
-"""Where a member finds others to join by: the deployment's list and a file of them."""
+"""The seeds that a member joins the fleet through: the deployment's list and a seeds file."""
 
 import msgspec
 
 from ..config import ConfigError, parse_address
 from .model import Address
 
-FILE_MOST = 1 << 20  # bytes of a seeds' file
+MAX_FILE_BYTES = 1 << 20
 
 
 def read_seeds(listed: list[str], path: str) -> tuple[Address, ...]:
-    """The seeds of the list and of the file (a JSON list of host:port), each once, in that order.
+    """The seeds of the list, then of the file (a JSON list of host:port), without duplicates.
 
     Raises ConfigError that names `fleet.seeds` or `fleet.seeds_file`.
     """
@@ -17,9 +17,9 @@
     if path:
         try:
             with open(path, "rb") as file:
-                data = file.read(FILE_MOST + 1)
-            if len(data) > FILE_MOST:
-                raise ConfigError(f"fleet.seeds_file: {path}: over {FILE_MOST} bytes")
+                data = file.read(MAX_FILE_BYTES + 1)
+            if len(data) > MAX_FILE_BYTES:
+                raise ConfigError(f"fleet.seeds_file: {path}: larger than {MAX_FILE_BYTES} bytes")
             texts = msgspec.json.decode(data, type=list[str])
         except OSError as problem:
             raise ConfigError(f"fleet.seeds_file: {path}: {problem.strerror}") from None
--- a/molespur/fleet/swim/exchange.py
+++ b/molespur/fleet/swim/exchange.py
@@ -1,17 +1,17 @@
-"""Whole views by TCP: joining, push-pulls, and what another member's view changes here."""
+"""Complete views over TCP: joining, push-pulls, and merging another member's view."""
 
 from .. import wire
 from ..model import Exchange, Gossip, MemberUpdate, State
 from .members import QueuedUpdate
 from .records import Changed, Push, Start
-from .verdicts import Verdicts
+from .updates import UpdateHandling
 
-FORGOTTEN_SEED_ROUNDS = 3  # one push-pull in so many goes to a seed that the view knows nothing of
-JOIN_SEEDS = 3  # asked at once
+UNKNOWN_SEED_ROUNDS = 3  # one push-pull in this many goes to a seed that is not in the view
+JOIN_SEEDS = 3  # seeds contacted at each attempt to join
 
 
-class Exchanging(Verdicts):
-    """Begins, joins, leaves, and exchanges views."""
+class Exchanging(UpdateHandling):
+    """Starts, joins, leaves, and exchanges views."""
 
     def _start(self, now: float, event: Start) -> None:
         if self.started:
@@ -57,18 +57,18 @@
         return wire.encode_exchange(self.cluster, self.me, join, members, self.shared_state())
 
     def _push_pull(self) -> None:
-        """With a member held alive; every other time with one held failed, so that split halves heal.
+        """Push to an alive member, every other time to a dead one, so that halves of a partition rejoin.
 
-        Halves that were apart for longer than tombstones are kept have forgotten each other: now and then the
-        target is a seed of which this view knows nothing.
+        After a partition that outlasts the tombstones neither half has a member of the other in its view, so
+        that some push-pulls go to a seed that is not in the view.
         """
         self._push_round += 1
         alive = self.alive()
         failed = [m.id for m in self.members.values() if m.state is State.DEAD]
         known = {member.address for member in self.members.values()}
-        forgotten = [seed for seed in self._seeds if seed not in known]
-        if forgotten and self._push_round % FORGOTTEN_SEED_ROUNDS == 0:
-            target = self.rng.choice(forgotten)
+        unknown = [seed for seed in self._seeds if seed not in known]
+        if unknown and self._push_round % UNKNOWN_SEED_ROUNDS == 0:
+            target = self.rng.choice(unknown)
         elif failed and (not alive or self._push_round % 2 == 0):
             target = self.members[self.rng.choice(failed)].address
         elif alive:
@@ -81,7 +81,7 @@
         self._out.append(Push(target, self._state(False), False))
 
     def _merge(self, now: float, exchange: Exchange) -> None:
-        """memberlist's merge: a member that the other side holds dead is only suspect here."""
+        """Merge a view as memberlist does: a member that is dead in it becomes only suspect here."""
         if exchange.join:
             self.counts["joins"] += 1
         self.joined = True
--- a/molespur/fleet/swim/members.py
+++ b/molespur/fleet/swim/members.py
@@ -1,4 +1,4 @@
-"""What this member holds of the others: their states, suspicions, and what is under way about them."""
+"""What this member keeps about the others: states, suspicions, pending probes and queued updates."""
 
 import math
 
@@ -9,14 +9,14 @@
 class Suspicion:
     """A suspicion's timeout, shorter with each independent confirmation (Lifeguard)."""
 
-    __slots__ = ("accusers", "confirmed", "k", "least", "most", "start")
+    __slots__ = ("accusers", "confirmed", "k", "max_ms", "min_ms", "start")
 
-    def __init__(self, start: float, least: float, most: float, k: int, accuser: str):
-        self.start, self.least, self.most, self.k = start, least, most, k
+    def __init__(self, start: float, min_ms: float, max_ms: float, k: int, accuser: str):
+        self.start, self.min_ms, self.max_ms, self.k = start, min_ms, max_ms, k
         self.accusers, self.confirmed = {accuser}, 0
 
     def confirm(self, by: str) -> bool:
-        """Count another accuser once; True if it is new."""
+        """Count each accuser once; True if it is new."""
         if not by or by in self.accusers:
             return False
         self.accusers.add(by)
@@ -24,15 +24,15 @@
         return True
 
     def deadline(self) -> float:
-        """When the suspicion becomes a verdict, ms."""
+        """When the suspect is declared dead, ms."""
         if self.k < 1:
-            return self.start + self.least
+            return self.start + self.min_ms
         share = math.log(self.confirmed + 1) / math.log(self.k + 1)
-        return self.start + max(self.least, self.most - (self.most - self.least) * share)
+        return self.start + max(self.min_ms, self.max_ms - (self.max_ms - self.min_ms) * share)
 
 
 class Member:
-    """Another member as this view holds it."""
+    """Another member in this view."""
 
     __slots__ = ("address", "id", "incarnation", "since", "state", "suspicion")
 
@@ -42,12 +42,12 @@
         self.suspicion: Suspicion | None = None
 
     def as_update(self, by: str = "") -> MemberUpdate:
-        """What this view holds of it, as told by a member."""
+        """The update that describes this member, as claimed by `by`."""
         return MemberUpdate(self.id, self.address[0], self.address[1], self.incarnation, self.state, by)
 
 
 class Probe:
-    """The probe that is under way."""
+    """The pending probe."""
 
     __slots__ = ("ends", "expected_nacks", "indirect_sent", "nacks", "seq", "target", "timeout")
 
@@ -57,16 +57,16 @@
 
 
 class Relay:
-    """A ping that is made for another member."""
+    """A ping on behalf of another member."""
 
-    __slots__ = ("nack", "requester", "their_seq", "until")
+    __slots__ = ("nack", "requester", "requester_seq", "until")
 
-    def __init__(self, requester: Address, their_seq: int, nack: bool, until: float):
-        self.requester, self.their_seq, self.nack, self.until = requester, their_seq, nack, until
+    def __init__(self, requester: Address, requester_seq: int, nack: bool, until: float):
+        self.requester, self.requester_seq, self.nack, self.until = requester, requester_seq, nack, until
 
 
 class QueuedUpdate:
-    """News that still has to be told, and how often it was."""
+    """An update that is still to be sent, and how often it was sent."""
 
     __slots__ = ("sent", "size", "update")
 
--- a/molespur/fleet/swim/membership.py
+++ b/molespur/fleet/swim/membership.py
@@ -1,4 +1,4 @@
-"""The entrance of the membership: events in, actions out."""
+"""The entry point of the membership: events in, actions out."""
 
 from ..model import Ack, Exchange, Message, Nack, Ping, PingReq, State
 from .exchange import Exchanging
@@ -6,24 +6,24 @@
 from .records import Leave, PushFailed, PushSucceeded, Received, Seeds, Start, Tick
 
 PURGE_EVERY_MS = 1_000.0
-RECONNECT_PERIODS = 2.0  # a member held failed is pinged this often, in probe periods
+RECONNECT_PERIODS = 2.0  # interval of pings to a dead member, in probe periods
 
 
 class Membership(Probing, Exchanging):
-    """One member's view of the fleet, and what it sends to keep it.
+    """One member's view of the fleet, and what it sends to maintain it.
 
     `handle(now, event) -> list of actions`; `answer_push(now, exchange) -> (bytes, actions)` for a push-pull
-    that another member opened; `view()` the view.  `counts` holds what happened, by name.
+    that another member opened; `view()` returns the view.  `counts` are counters of what happened, by name.
     """
 
     # -- The two entries -----------------------------------------------------------------------
 
     def handle(self, now: float, event) -> list:
-        """Take one event; the actions that it leads to, timers' included."""
+        """Take one event; return the actions that follow, those of expired timers included."""
         self._out = []
-        self._held(now)
+        self._postpone_after_stall(now)
         if isinstance(event, Received):
-            self._received(now, event.message)
+            self._receive(now, event.message)
         elif isinstance(event, Start):
             self._start(now, event)
         elif isinstance(event, PushSucceeded):
@@ -35,24 +35,24 @@
         elif isinstance(event, Leave):
             self._leave(now)
         if self.started and isinstance(event, (Tick, Start)):
-            # only a tick judges by time: the seam reads all that has come before it ticks
-            self._timers(now)
+            # only a tick runs the timers: the transport reads all pending datagrams before it ticks
+            self._run_timers(now)
         return self._out
 
     def answer_push(self, now: float, exchange: Exchange) -> tuple[bytes, list]:
-        """Another member pushed its view: merge it, and answer with ours as it is after that."""
+        """Another member pushed its view: merge it, and reply with ours after the merge."""
         self._out = []
-        self._held(now)
+        self._postpone_after_stall(now)
         self.counts["pushes_taken"] += 1
         self._merge(now, exchange)
         return self._state(exchange.join), self._out
 
     # -- Time ----------------------------------------------------------------------------------
 
-    def _held(self, now: float) -> None:
-        """Lifeguard: a long gap since the last call means that we were held, not that others were silent.
+    def _postpone_after_stall(self, now: float) -> None:
+        """Lifeguard: a long gap since the last call means that we were stalled, not that others were silent.
 
-        What fell due meanwhile is put off by the gap, so that acks that waited for us are read first.
+        Pending timeouts are postponed by the gap, so that acks that arrived meanwhile are read first.
         """
         if self._last is not None and now - self._last > self.tuning.stall_threshold_ms:
             gap = now - self._last
@@ -69,12 +69,12 @@
                 relay.until += gap
         self._last = now if self._last is None else max(self._last, now)
 
-    def _timers(self, now: float) -> None:
+    def _run_timers(self, now: float) -> None:
         tuning = self.tuning
         if self._probe is not None:
             probe = self._probe
             if not probe.indirect_sent and now >= probe.timeout:
-                self._indirect(now, probe)
+                self._send_indirect(now, probe)
             if now >= probe.ends:
                 self._probe_failed(now, probe)
         if self._probe is None and now >= self._next_probe and not self.leaving:
@@ -82,7 +82,7 @@
         if self._relays:
             self._expire_relays(now)
         if self._suspects:
-            for member_id in [m for m in self._suspects if self._due(m, now)]:
+            for member_id in [m for m in self._suspects if self._suspicion_expired(m, now)]:
                 member = self.members[member_id]
                 self._declare(now, member, State.DEAD, member.incarnation, self.me)
         if now >= self._next_gossip:
@@ -90,8 +90,8 @@
             if self._queue:
                 self._gossip()
         if now >= self._next_push and not self.leaving:
-            every = tuning.push_pull_every(len(self.members) + 1)
-            self._next_push = now + every * self.rng.uniform(0.75, 1.25)
+            interval_ms = tuning.push_pull_interval_ms(len(self.members) + 1)
+            self._next_push = now + interval_ms * self.rng.uniform(0.75, 1.25)
             self._push_pull()
         if self._join_at is not None and now >= self._join_at and not self.joined:
             self._join(now)
@@ -102,19 +102,19 @@
             self._next_reconnect = now + RECONNECT_PERIODS * tuning.period_ms * self.rng.uniform(0.75, 1.25)
             self._reconnect()
 
-    # -- What comes in -------------------------------------------------------------------------
+    # -- Messages ------------------------------------------------------------------------------
 
-    def _received(self, now: float, message: Message) -> None:
+    def _receive(self, now: float, message: Message) -> None:
         if not self.started:
             return
         for update in message.updates:
             self._apply(now, update)
         if isinstance(message, Ping):
-            self._pinged(message)
+            self._handle_ping(message)
         elif isinstance(message, Ack):
-            self._acked(message)
+            self._handle_ack(message)
         elif isinstance(message, PingReq):
-            self._asked(now, message)
+            self._handle_ping_req(now, message)
         elif isinstance(message, Nack):
             if self._probe is not None and message.seq == self._probe.seq:
                 self._probe.nacks += 1
--- a/molespur/fleet/swim/probing.py
+++ b/molespur/fleet/swim/probing.py
@@ -1,17 +1,17 @@
-"""Probes: whom this member pings, what it does for others, and what follows from silence."""
+"""Probes: which member is pinged, indirect probes for others, and what follows from a missing ack."""
 
 import hashlib
 
 from ..model import Ack, MemberUpdate, Nack, Ping, PingReq, State
 from .members import Member, Probe, Relay
-from .verdicts import Verdicts
+from .updates import UpdateHandling
 
-RELAYS_MOST = 256  # indirect probes served at once; the oldest goes first
-NACK_SHARE = 0.8  # of what is left of a requester's period, for a helper to wait before its nack
+MAX_RELAYS = 256  # concurrent indirect probes for others; beyond that the oldest is dropped
+NACK_SHARE = 0.8  # of the rest of the requester's period, after which a helper sends its nack
 
 
-class Probing(Verdicts):
-    """Pings, direct and by others, in an order that all members share."""
+class Probing(UpdateHandling):
+    """Direct and indirect pings, in an order that all members share."""
 
     def _start_probe(self, now: float) -> None:
         target = self._next_target(now)
@@ -31,11 +31,11 @@
     def _next_target(self, now: float) -> Member | None:
         """Shuffled round robin, with the same shuffle at every member, shifted by one each period.
 
-        The members held alive or suspect, this one among them, form a ring in an order drawn anew each
-        round of n - 1 periods from the round's number; in period k the member at place p probes the one at
-        p + 1 + k mod (n - 1).  Within a round each member probes every other once, and where the views
-        agree each member is probed by exactly one other in each period, so that a death is found within
-        about one period, not in e/(e - 1) on average with a long tail as with shuffles of their own.
+        The members that are alive or suspect, this one among them, form a ring.  Its order is derived from
+        the number of the round, which lasts n - 1 periods.  In period k the member at place p probes the one
+        at p + 1 + k mod (n - 1).  Within a round each member probes every other once.  Where the views agree,
+        each member is probed by exactly one other in each period.  So a failure is detected within about one
+        period; with independent shuffles it takes e/(e - 1) periods on average, with a long tail.
         """
         k = int(now // self.tuning.period_ms)
         ring, places = self._ring(k)
@@ -53,14 +53,14 @@
         size = len(self.alive()) + 1 if self._ring_size is None else self._ring_size
         key = (k // max(1, size - 1), self._ring_version)
         if self._ring_key != key:
-            turn = key[0].to_bytes(8, "big")
+            salt = key[0].to_bytes(8, "big")
             ids = [self.me, *self.alive()]
-            ids.sort(key=lambda one: hashlib.blake2b(one.encode(), digest_size=8, salt=turn[:8]).digest())
+            ids.sort(key=lambda one: hashlib.blake2b(one.encode(), digest_size=8, salt=salt[:8]).digest())
             self._ring_cache = (ids, {one: place for place, one in enumerate(ids)})
             self._ring_key, self._ring_size = key, len(ids)
         return self._ring_cache
 
-    def _indirect(self, now: float, probe: Probe) -> None:
+    def _send_indirect(self, now: float, probe: Probe) -> None:
         probe.indirect_sent = True
         target = self.members.get(probe.target)
         if target is None or target.state > State.SUSPECT:
@@ -79,27 +79,30 @@
         self._probe = None
         self.counts["probes_failed"] += 1
         if probe.expected_nacks:
-            # nacks that did not come mean that the fault may be on our side
+            # missing nacks mean that the fault may be on our side
             self._raise_health(max(0, probe.expected_nacks - probe.nacks))
         else:
             self._raise_health(1)
         target = self.members.get(probe.target)
         if target is not None and target.state <= State.SUSPECT:
-            # held suspect already, ours is an independent confirmation, which shortens the timeout
+            # for a member that is already suspect this is a confirmation, which shortens its timeout
             self.counts["suspicions"] += 1
-            said = MemberUpdate(target.id, *target.address, target.incarnation, State.SUSPECT, self.me)
-            self._suspect(now, said)
+            update = MemberUpdate(target.id, *target.address, target.incarnation, State.SUSPECT, self.me)
+            self._suspect(now, update)
 
     def _expire_relays(self, now: float) -> None:
         for seq in [seq for seq, relay in self._relays.items() if now >= relay.until]:
             relay = self._relays.pop(seq)
             if relay.nack:
-                self._send(relay.requester, Nack(relay.their_seq, self.me, self._take_updates()))
+                self._send(relay.requester, Nack(relay.requester_seq, self.me, self._take_updates()))
                 self.counts["nacks_sent"] += 1
 
     def _reconnect(self) -> None:
-        """Ping one member held failed, telling it so: where it lives (a healed cut, a false death), it
-        refutes on its ack, and is alive here again at once: a datagram each few periods, not a view."""
+        """Ping one dead member with the update that declares it dead.
+
+        If it is in fact alive (after a healed partition, or declared dead falsely) its ack carries the
+        refutation, and it is alive here again at once.  This costs one datagram each few periods, not a view.
+        """
         failed = [m for m in self.members.values() if m.state is State.DEAD]
         if not failed:
             return
@@ -111,16 +114,16 @@
         )
         self._send(member.address, ping)
 
-    def _pinged(self, ping: Ping) -> None:
+    def _handle_ping(self, ping: Ping) -> None:
         if ping.target != self.me:
             self.counts["pings_not_ours"] += 1
             return
         held = self.members.get(ping.src)
-        # a member that we hold failed is told so, so that it refutes and is not a ghost in our view
+        # tells a member that is not alive in our view so, so that it can refute
         hint = held.as_update(self.me) if held is not None and held.state is not State.ALIVE else None
         self._send((ping.host, ping.port), Ack(ping.seq, self.me, self._take_updates(hint)))
 
-    def _acked(self, ack: Ack) -> None:
+    def _handle_ack(self, ack: Ack) -> None:
         probe = self._probe
         if probe is not None and ack.seq == probe.seq:
             self._probe = None
@@ -129,20 +132,20 @@
             return
         relay = self._relays.pop(ack.seq, None)
         if relay is not None:
-            self._send(relay.requester, Ack(relay.their_seq, ack.src, self._take_updates()))
+            self._send(relay.requester, Ack(relay.requester_seq, ack.src, self._take_updates()))
             return
         self.counts["acks_late"] += 1
 
-    def _asked(self, now: float, request: PingReq) -> None:
+    def _handle_ping_req(self, now: float, request: PingReq) -> None:
         if request.target == self.me:
             self._send((request.host, request.port), Ack(request.seq, self.me, self._take_updates()))
             return
-        if len(self._relays) >= RELAYS_MOST:
+        if len(self._relays) >= MAX_RELAYS:
             self._relays.pop(next(iter(self._relays)))
             self.counts["relays_dropped"] += 1
         self._seq += 1
-        # the nack must reach the requester before its period ends, or it counts against the requester's
-        # own health: it waits period - probe timeout after asking, so a helper waits a share of that
+        # a nack that arrives after the requester's period counts against the requester's own health; the
+        # requester waits period - probe timeout after its request, so a helper waits a share of that
         until = now + NACK_SHARE * (self.tuning.period_ms - self.tuning.probe_timeout_ms)
         self._relays[self._seq] = Relay((request.host, request.port), request.seq, request.nack, until)
         target = (request.target_host, request.target_port)
--- a/molespur/fleet/swim/records.py
+++ b/molespur/fleet/swim/records.py
@@ -1,4 +1,4 @@
-"""What goes into and comes out of the membership: events and actions.  Plain data."""
+"""Events and actions of the membership.  Plain data."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """Begin: the own incarnation starts at `unix_ms`; join by pushing to some of the seeds."""
+    """Start: our incarnation starts at `unix_ms`; join by pushing to some of the seeds."""
 
     unix_ms: int
     seeds: tuple[Address, ...] = ()
@@ -17,8 +17,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed: look at the timers.  Other events never judge by time, so that a seam that reads
-    all that has come before it ticks never times out what was already there."""
+    """Time has passed: run the timers.
+
+    Other events never do.  So a transport that reads all pending datagrams before it ticks never times out an
+    ack that had already arrived.
+    """
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,14 +33,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PushSucceeded:
-    """The answer to our `Push`: the other member's view."""
+    """The reply to our `Push`: the other member's view."""
 
     exchange: Exchange
 
 
 @dataclass(frozen=True, slots=True)
 class PushFailed:
-    """Our `Push` to this address came to nothing."""
+    """Our `Push` to this address failed."""
 
     address: Address
     join: bool
@@ -45,14 +48,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Seeds:
-    """Other seeds from now on, such as after SIGHUP."""
+    """Use these seeds from now on, for example after SIGHUP."""
 
     seeds: tuple[Address, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """Say that this member leaves; it stops probing, and answers until it is gone."""
+    """Announce that this member leaves; it stops probing, and replies until the process ends."""
 
 
 # -- Actions ----------------------------------------------------------------------------------------
@@ -68,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Push:
-    """Open TCP, send this state, read the answer, and hand it in as `PushSucceeded` (or `PushFailed`)."""
+    """Open TCP, send this state, read the reply, and pass it back as `PushSucceeded` (or `PushFailed`)."""
 
     address: Address
     data: bytes
@@ -77,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Changed:
-    """A member's state changed in this view; `before` is None for one that is new to it."""
+    """A member's state changed in this view; `before` is None for a member that is new."""
 
     member: str
     address: Address
--- a/molespur/fleet/swim/state.py
+++ b/molespur/fleet/swim/state.py
@@ -1,4 +1,4 @@
-"""The state that all parts of the membership share, what can be read of it, and how datagrams leave."""
+"""The state that all parts of the membership use, reading it, and sending datagrams."""
 
 import random
 from collections import Counter
@@ -9,8 +9,8 @@
 from .members import Member, Probe, QueuedUpdate, Relay
 from .records import Send
 
-HEADROOM = 160  # bytes of a datagram kept for what is not news
-MAX_UPDATES_PER_DATAGRAM = 60  # pieces in one datagram
+RESERVED_BYTES = 160  # of a datagram, for what is not updates
+MAX_UPDATES_PER_DATAGRAM = 60
 
 
 class MembershipState:
@@ -32,11 +32,10 @@
         self.health = 0  # Lifeguard's local health score: 0 is healthy
         self.counts: Counter = Counter()
         self.started = self.leaving = self.joined = False
-        self.shared_state: Callable[[], bytes] = lambda: (
-            wire.NOTHING
-        )  # the shared state that rides on push-pulls
+        # the encoded snapshot of the shared state that is sent with push-pulls
+        self.shared_state: Callable[[], bytes] = lambda: wire.NOTHING
         self._suspects: set[str] = set()
-        self._ring_version = 0  # raised whenever a member comes into or goes out of the ring
+        self._ring_version = 0  # raised whenever a member enters or leaves the ring
         self._ring_key: tuple[int, int] | None = None
         self._ring_size: int | None = None
         self._ring_cache: tuple[list[str], dict[str, int]] = ([], {})
@@ -65,11 +64,11 @@
         return rows
 
     def alive(self) -> list[str]:
-        """Ids of the others held alive or suspect."""
+        """Ids of the other members that are alive or suspect."""
         return [m.id for m in self.members.values() if m.state <= State.SUSPECT]
 
     def by_state(self) -> Counter:
-        """How many members this view holds in each state, itself included."""
+        """The number of members in each state, this one included."""
         found = Counter(m.state.name.lower() for m in self.members.values())
         found["left" if self.leaving else "alive"] += 1
         return found
@@ -81,24 +80,27 @@
         self._out.append(Send(address, wire.encode(self.cluster, message)))
 
     def _take_updates(self, first: MemberUpdate | None = None) -> list[MemberUpdate]:
-        """News for a datagram: least sent first, within its bytes; each goes a bounded number of times."""
-        budget = self.tuning.datagram_most - HEADROOM
+        """Updates for a datagram, the least sent first, as far as its bytes allow.
+
+        Each is sent a bounded number of times.  `first` is put in front of the queued ones.
+        """
+        room = self.tuning.datagram_most - RESERVED_BYTES
         chosen = []
         if first is not None:
             chosen.append(first)
-            budget -= wire.update_size(first)
+            room -= wire.update_size(first)
         if not self._queue:
             return chosen
-        most = self.tuning.retransmits(len(self.members) + 1)
+        max_sends = self.tuning.retransmits(len(self.members) + 1)
         for key, queued in sorted(self._queue.items(), key=lambda item: item[1].sent):
-            if queued.size > budget or len(chosen) >= MAX_UPDATES_PER_DATAGRAM:
+            if queued.size > room or len(chosen) >= MAX_UPDATES_PER_DATAGRAM:
                 break
             if first is not None and queued.update.member == first.member:
                 continue
             chosen.append(queued.update)
-            budget -= queued.size
+            room -= queued.size
             queued.sent += 1
-            if queued.sent >= most:
+            if queued.sent >= max_sends:
                 del self._queue[key]
         self.counts["news_sent"] += len(chosen)
         return chosen
@@ -108,7 +110,7 @@
             m.id
             for m in self.members.values()
             if m.state is State.DEAD and m.since >= (self._last or 0.0) - self.tuning.period_ms * 2
-        ]  # the freshly dead hear of it too, so that they may refute
+        ]  # members just declared dead are included, so that they can refute
         for member_id in self.rng.sample(targets, min(len(targets), self.tuning.gossip_nodes)):
             updates = self._take_updates()
             if not updates:
--- a/molespur/fleet/swim/verdicts.py
+++ b/molespur/fleet/swim/updates.py
@@ -1,4 +1,4 @@
-"""News of members: who is alive, suspect, dead or has left, and what this member says of itself."""
+"""Updates about members (alive, suspect, dead, left), and refutation of those about this member."""
 
 import math
 
@@ -7,12 +7,12 @@
 from .records import Changed, Conflict, Refuted
 from .state import MembershipState
 
-CONFLICTS_EVERY_MS = 10_000.0  # one action for the same clash of ids in this time
-CONFLICTS_KEPT = 64
+CONFLICT_INTERVAL_MS = 10_000.0  # min time between two actions for the same conflict
+MAX_CONFLICTS = 64  # conflicts whose last action is remembered
 
 
-class Verdicts(MembershipState):
-    """Takes news in, and changes what is held of members."""
+class UpdateHandling(MembershipState):
+    """Applies updates to the members."""
 
     def _apply(self, now: float, update: MemberUpdate) -> None:
         if update.state is State.ALIVE:
@@ -30,7 +30,7 @@
                 return
             if update.address != self.address:
                 self._conflict(now, self.me, self.address, update.address)
-            self._refute(update.incarnation, "alive news of us that we did not send")
+            self._refute(update.incarnation, "alive update about us that we did not send")
             return
         member = self.members.get(update.member)
         if member is None:
@@ -75,12 +75,12 @@
             return
         self._declare(now, member, State.SUSPECT, update.incarnation, update.by)
         n = len(self.members) + 1
-        least, most = self.tuning.suspicion_bounds(n)
+        min_ms, max_ms = self.tuning.suspicion_bounds(n)
         k = max(0, min(int(self.tuning.suspicion_mult) - 2, n - 2))
-        member.suspicion = Suspicion(now, least, most, k, update.by)
+        member.suspicion = Suspicion(now, min_ms, max_ms, k, update.by)
         self._suspects.add(member.id)
 
-    def _due(self, member_id: str, now: float) -> bool:
+    def _suspicion_expired(self, member_id: str, now: float) -> bool:
         suspicion = self.members[member_id].suspicion
         return suspicion is not None and now >= suspicion.deadline()
 
@@ -120,15 +120,15 @@
     def _conflict(self, now: float, member: str, held: Address, claimed: Address) -> None:
         self.counts["conflicts"] += 1
         key = (member, claimed)
-        if now - self._conflicts.get(key, -math.inf) < CONFLICTS_EVERY_MS:
+        if now - self._conflicts.get(key, -math.inf) < CONFLICT_INTERVAL_MS:
             return
-        if len(self._conflicts) >= CONFLICTS_KEPT:
+        if len(self._conflicts) >= MAX_CONFLICTS:
             self._conflicts.clear()
         self._conflicts[key] = now
         self._out.append(Conflict(member, held, claimed))
 
     def _purge(self, now: float, force: bool = False) -> None:
-        """Tombstones go after their time; with a full table the oldest goes at once."""
+        """Drop expired tombstones; with `force` and a full table, drop the oldest at once."""
         tombs = [m for m in self.members.values() if m.state > State.SUSPECT]
         for member in tombs:
             if now - member.since >= self.tuning.tombstone_ms:
--- a/molespur/fleet/wire.py
+++ b/molespur/fleet/wire.py
@@ -1,7 +1,7 @@
 """Messages between schedulers as bytes: msgpack by msgspec, checked and bounded.  Pure.
 
 A datagram is a `Packet` (version, cluster, body); a push-pull state over TCP is an `Exchange` behind a
-4-byte length.  Whatever can't be taken is told by a reason, which the seam counts; nothing raises.
+4-byte length.  Decoding never raises: it returns a reason instead, which the transport counts.
 """
 
 import struct
@@ -23,7 +23,7 @@
 
 
 class _Head(msgspec.Struct, array_like=True):
-    """What any version of a packet or exchange begins with."""
+    """The first field of a packet or exchange in any version."""
 
     version: int
 
@@ -32,12 +32,12 @@
 
 
 def encode(cluster: str, message: AnyMessage) -> bytes:
-    """One datagram."""
+    """Encode a message as one datagram."""
     return _encoder.encode(Packet(VERSION, cluster, msgspec.Raw(_encoder.encode(message))))
 
 
 def update_size(update: MemberUpdate) -> int:
-    """Bytes that one piece of news adds to a datagram."""
+    """Bytes that one update adds to a datagram."""
     return len(_encoder.encode(update))
 
 
@@ -48,9 +48,9 @@
         return None
 
 
-def decode(data: bytes, cluster: str, most: int) -> tuple[AnyMessage | None, str]:
-    """The message of a datagram and "", or None and the reason why not."""
-    if len(data) > most:
+def decode(data: bytes, cluster: str, max_bytes: int) -> tuple[AnyMessage | None, str]:
+    """The message of a datagram and "", or None and the reason for dropping it."""
+    if len(data) > max_bytes:
         return None, "oversized"
     try:
         packet = _packet.decode(data)
@@ -69,13 +69,13 @@
 def encode_exchange(
     cluster: str, src: str, join: bool, members: list[MemberUpdate], shared_state: bytes = NOTHING
 ) -> bytes:
-    """A push-pull state with its length in front; `shared_state` as `encode_snapshot` gives it."""
+    """Encode a push-pull state behind its length; `shared_state` is the result of `encode_snapshot`."""
     body = _encoder.encode(Exchange(VERSION, cluster, src, join, members, msgspec.Raw(shared_state)))
     return LENGTH.pack(len(body)) + body
 
 
 def decode_exchange(body: bytes, cluster: str) -> tuple[Exchange | None, str]:
-    """A push-pull state (without its length) and "", or None and the reason why not."""
+    """A push-pull state (without its length) and "", or None and the reason for dropping it."""
     try:
         exchange = _exchange.decode(body)
     except (msgspec.DecodeError, msgspec.ValidationError):
@@ -88,12 +88,12 @@
 
 
 def encode_snapshot(snapshot: StateSnapshot) -> bytes:
-    """The shared state that rides on a push-pull."""
+    """Encode the shared state that is sent with a push-pull."""
     return _encoder.encode(snapshot)
 
 
 def decode_snapshot(data: msgspec.Raw) -> tuple[StateSnapshot | None, str]:
-    """The shared state of a push-pull, None where there is none, and why not where it can't be taken."""
+    """The shared state of a push-pull (None where there is none) and "", or None and the reason."""
     try:
         return _snapshot.decode(data), ""
     except (msgspec.DecodeError, msgspec.ValidationError):
