--- a/molespur/fleet/judgements.py
+++ b/molespur/fleet/judgements.py
@@ -1,8 +1,8 @@
-"""Judgements on records workers as registers that the schedulers share.  Pure.
+"""Judgements on workers as registers that the schedulers share.  Pure.
 
-A last-writer-wins map stamped by a hybrid logical clock, so that of two judgements the later stands
-whichever comes first.  How old a register is goes along with it, counted by whoever held it on their own
-clocks: it ends for all at about the same time, whatever their clocks say, and is not taken up again then.
+A last-writer-wins map stamped by a hybrid logical clock, so that of two judgements the later one wins,
+whichever arrives first.  A register's age is sent along with it, counted by each holder on its own clock.  So
+it expires for all at about the same time, whatever their clocks show, and is not accepted again afterwards.
 """
 
 from collections.abc import Iterator
@@ -10,79 +10,80 @@
 from .crdt import HybridClock, LWWMap, Register
 from .sharing import RegisterUpdate
 
-PEERS_KEPT = 33  # members whose clocks ours is compared with
-BAD, ASK = b"bad", b"ask"  # judged bad; judges ask for what members saw of it
+MAX_CLOCK_OFFSETS = 33  # members whose clocks ours is compared with
+BAD, QUERY = b"bad", b"ask"  # judged bad; judges query the members' counts of it
 
 
 class Judgements:
-    """The registers that one member holds, and which of them are still to be told on."""
+    """The registers that one member holds."""
 
-    def __init__(self, me: str, life_ms: float, most: int = 2_048, ahead_most_ms: int = 1_000):
-        self.life_ms = life_ms
-        self.clock = HybridClock(me, ahead_most_ms)
-        self.map = LWWMap(most=most)
-        self._born: dict[str, float] = {}  # when each was written, by our clock
+    def __init__(self, me: str, ttl_ms: float, max_keys: int = 2_048, max_ahead_ms: int = 1_000):
+        self.ttl_ms = ttl_ms
+        self.clock = HybridClock(me, max_ahead_ms)
+        self.map = LWWMap(max_keys=max_keys)
+        self._written_at: dict[str, float] = {}  # when each was written, by our clock
         self._offsets: dict[str, float] = {}  # how far ahead of ours other members' clocks are
 
-    def compare(self, member: str, ahead_ms: float) -> None:
-        """Another's clock is so far ahead of ours (or, below 0, behind)."""
+    def record_clock_offset(self, member: str, ahead_ms: float) -> None:
+        """Record that a member's clock is this far ahead of ours (below 0: behind)."""
         self._offsets.pop(member, None)
         self._offsets[member] = ahead_ms
-        if len(self._offsets) > PEERS_KEPT:
+        if len(self._offsets) > MAX_CLOCK_OFFSETS:
             del self._offsets[next(iter(self._offsets))]
 
-    def fleet_ms(self, unix_ms: float) -> float:
-        """The Unix time as the middle one of the members has it.
+    def fleet_unix_ms(self, unix_ms: float) -> float:
+        """The Unix time by the median of the members' clocks.
 
-        Guards against a member whose clock is off refusing what all others say, or being refused by all.
+        Guards against a member whose clock is off refusing the updates of all others, or being refused by
+        them.
         """
         ranked = sorted([0.0, *self._offsets.values()])
         middle = ranked[(len(ranked) - 1) // 2 : len(ranked) // 2 + 1]
         return unix_ms + min(middle, key=abs)
 
     def write(self, key: str, value: bytes, now: float, unix_ms: float) -> RegisterUpdate:
-        """Write a register; as it is to be told."""
-        stamp = self.clock.now(self.fleet_ms(unix_ms))
-        self.map, self._born[key] = self.map.put(key, value, stamp), now
+        """Write a register; return the update to send."""
+        stamp = self.clock.now(self.fleet_unix_ms(unix_ms))
+        self.map, self._written_at[key] = self.map.put(key, value, stamp), now
         return RegisterUpdate(key, stamp, value, 0.0)
 
-    def hear(self, said: RegisterUpdate, now: float, unix_ms: float) -> str:
-        """Another's register: "" if it is news and taken, else why not."""
-        if said.age_ms >= self.life_ms:
+    def merge(self, update: RegisterUpdate, now: float, unix_ms: float) -> str:
+        """Take another member's register; "" if it was new and taken, else the reason why not."""
+        if update.age_ms >= self.ttl_ms:
             return "over"
-        held = self.map.registers.get(said.key)
-        if held is not None and held.stamp == said.stamp:
+        held = self.map.registers.get(update.key)
+        if held is not None and held.stamp == update.stamp:
             return "known"
-        if self.clock.receive(said.stamp, self.fleet_ms(unix_ms)) is None:
+        if self.clock.receive(update.stamp, self.fleet_unix_ms(unix_ms)) is None:
             return "from_the_future"
-        merged = self.map.put(said.key, said.value, said.stamp)
-        if merged.registers.get(said.key) != Register(said.stamp, said.value):
+        merged = self.map.put(update.key, update.value, update.stamp)
+        if merged.registers.get(update.key) != Register(update.stamp, update.value):
             return "older"
-        self.map, self._born[said.key] = merged, now - said.age_ms
+        self.map, self._written_at[update.key] = merged, now - update.age_ms
         return ""
 
-    def told(self, key: str, now: float) -> RegisterUpdate | None:
-        """A register as it is to be told on now."""
+    def get(self, key: str, now: float) -> RegisterUpdate | None:
+        """A register with its age now; None where it is missing or has expired."""
         held = self.map.registers.get(key)
-        age = now - self._born.get(key, 0.0)
-        if held is None or age >= self.life_ms:
+        age = now - self._written_at.get(key, 0.0)
+        if held is None or age >= self.ttl_ms:
             return None
         return RegisterUpdate(key, held.stamp, held.value, age)
 
     def all(self, now: float) -> Iterator[RegisterUpdate]:
         for key in self.map.registers:
-            if (said := self.told(key, now)) is not None:
-                yield said
+            if (update := self.get(key, now)) is not None:
+                yield update
 
-    def having(self, value: bytes, now: float) -> set[str]:
-        """The keys that hold this value, their time not over."""
-        return {said.key for said in self.all(now) if said.value == value}
+    def keys_with(self, value: bytes, now: float) -> set[str]:
+        """The keys that hold this value and have not expired."""
+        return {update.key for update in self.all(now) if update.value == value}
 
     def expire(self, now: float) -> list[str]:
-        """Let go what is over; its keys."""
-        over = [k for k in self.map.registers if now - self._born.get(k, 0.0) >= self.life_ms]
-        if over:
-            kept = {k: r for k, r in self.map.registers.items() if k not in over}
-            self.map = LWWMap(kept, self.map.most)
-        self._born = {k: at for k, at in self._born.items() if k in self.map.registers}
-        return over
+        """Drop expired registers; return their keys."""
+        expired = [k for k in self.map.registers if now - self._written_at.get(k, 0.0) >= self.ttl_ms]
+        if expired:
+            kept = {k: r for k, r in self.map.registers.items() if k not in expired}
+            self.map = LWWMap(kept, self.map.max_keys)
+        self._written_at = {k: at for k, at in self._written_at.items() if k in self.map.registers}
+        return expired
--- a/molespur/fleet/retries.py
+++ b/molespur/fleet/retries.py
@@ -1,48 +1,52 @@
 """The fleet's retry budget: rights that first attempts earn and retries spend.  Pure.
 
-A bounded counter after Balegas et al. (2015) whose rights are minted where first attempts are made: each
-earns `ratio` of a retry, each retry spends one, and none is sent that has not been earned.  So retries over
-all schedulers are at most `ratio` of all first attempts and the floors, by construction and whatever is lost:
-no sum has to be agreed on.  A member that was denied asks a few others, who give half of what they have to
-spare, for good; a gift that is lost is a right lost, one that comes twice is taken once.  A floor of its own,
-heard or not, is earned with time (as Finagle's and Envoy's budgets have a least rate for one client).
+A bounded counter after Balegas et al. (2015) whose rights are created where first attempts are made: each
+first attempt earns `ratio` of a retry, each retry spends one, and no retry is sent without a right.  So the
+retries of all schedulers are at most `ratio` of all first attempts plus the floors, by construction and
+whatever messages are lost; no sum has to be agreed on.
+
+A member that was denied a retry asks a few others, which transfer half of what they can spare, for good.  A
+transfer that is lost is a right lost; one that arrives twice is taken once.  Each member's floor is earned
+with time and needs no contact (as Finagle's and Envoy's budgets have a minimum rate for one client).
 """
 
 from collections import Counter, deque
 
 from .sharing import SharingConfig
 
-SPARE = 0.5  # of what a member has beyond a fresh second's earnings, given to one that asks
-KEPT_S = 2  # rights of so many seconds are kept at most, so that a calm does not save up for a storm
-GIFTS_KEPT = 128
+TRANSFER_SHARE = 0.5  # of what a member has beyond one second's earnings, transferred on a request
+MAX_SAVED_S = (
+    2  # rights of at most the last seconds are kept, so that a quiet period does not fund a retry storm
+)
+MAX_TRANSFERS_KEPT = 128  # received transfers that are remembered, to take each once
 
 
 class RetryBudget:
     """One member's side of the budget."""
 
-    def __init__(self, share: SharingConfig, now: float):
-        self.ratio = share.retry_ratio
-        self.floor_per_s = share.retry_floor / max(share.size, 1)
+    def __init__(self, config: SharingConfig, now: float):
+        self.ratio = config.retry_ratio
+        self.floor_per_s = config.retry_floor / max(config.size, 1)
         self.rights = 0.0
         self.denied = False
         self.counts: Counter = Counter()
         self._floor, self._at = 0.0, now
         self._firsts: deque[list] = deque()  # [second, first attempts]
-        self._taken: deque[int] = deque(maxlen=GIFTS_KEPT)
+        self._transfers: deque[int] = deque(maxlen=MAX_TRANSFERS_KEPT)
 
-    def _grow(self, now: float) -> None:
+    def _advance(self, now: float) -> None:
         self._floor = min(self._floor + max(now - self._at, 0.0) / 1000 * self.floor_per_s, 1.0)
         self._at = max(self._at, now)
-        while self._firsts and self._firsts[0][0] <= now // 1000 - KEPT_S:
+        while self._firsts and self._firsts[0][0] <= now // 1000 - MAX_SAVED_S:
             self._firsts.popleft()
 
     def earned_recently(self, now: float) -> float:
-        """Rights earned in the last seconds: the most that are kept."""
-        self._grow(now)
+        """Rights earned in the last `MAX_SAVED_S` seconds: the most that are kept."""
+        self._advance(now)
         return self.ratio * sum(count for _, count in self._firsts)
 
     def record_first_attempt(self, now: float) -> None:
-        """A first attempt of ours."""
+        """Earn the rights of a first attempt of ours."""
         if not self._firsts or self._firsts[-1][0] != now // 1000:
             self._firsts.append([now // 1000, 0])
         self._firsts[-1][1] += 1
@@ -50,48 +54,48 @@
 
     def available(self, now: float) -> float:
         """Retries that may be sent now."""
-        self._grow(now)
+        self._advance(now)
         return self.rights + self._floor
 
     def spend(self, now: float) -> bool:
-        """A retry of ours; False where none was left (the caller looked at `available` too long ago)."""
-        self._grow(now)
+        """Spend a right on a retry; False where none was left (the caller read `available` too long ago)."""
+        self._advance(now)
         self.counts["retries_spent"] += 1
         if self.rights >= 1.0:
             self.rights -= 1.0
             return True
-        short = 1.0 - self.rights
-        self.rights, self._floor = 0.0, self._floor - short
+        missing = 1.0 - self.rights
+        self.rights, self._floor = 0.0, self._floor - missing
         if self._floor < -1e-9:
             self.counts["retries_overspent"] += 1
         return self._floor >= -1e-9
 
     def record_denial(self) -> None:
-        """A retry was turned down: ask others at the next renewal."""
+        """A retry was denied: ask others for rights at the next renewal."""
         self.denied = True
         self.counts["retries_denied"] += 1
 
     def shortfall(self, now: float) -> float:
-        """What to ask others for now; 0: nothing."""
+        """The rights to request from others now; 0: none."""
         denied, self.denied = self.denied, False
-        return max(1.0, self.earned_recently(now) / KEPT_S) if denied else 0.0
+        return max(1.0, self.earned_recently(now) / MAX_SAVED_S) if denied else 0.0
 
     def give(self, lack: float, now: float) -> float:
-        """Give another some of ours: it is gone from here, whether or not it arrives."""
-        spare = SPARE * (self.rights - self.earned_recently(now) / KEPT_S)
-        gift = min(lack, spare)
-        if gift < 0.1:
+        """Transfer some of our rights; they are gone from here whether or not the transfer arrives."""
+        spare = TRANSFER_SHARE * (self.rights - self.earned_recently(now) / MAX_SAVED_S)
+        amount = min(lack, spare)
+        if amount < 0.1:
             return 0.0
-        self.rights -= gift
+        self.rights -= amount
         self.counts["rights_given"] += 1
-        return gift
+        return amount
 
-    def take(self, ask: int, gift: float) -> bool:
-        """A gift that answers one of our asks; False where it came before."""
-        if ask in self._taken:
+    def take(self, request: int, amount: float) -> bool:
+        """Take the transfer that replies to one of our requests; False where it was taken before."""
+        if request in self._transfers:
             self.counts["gifts_doubled"] += 1
             return False
-        self._taken.append(ask)
-        self.rights += gift
+        self._transfers.append(request)
+        self.rights += amount
         self.counts["rights_taken"] += 1
         return True
--- a/molespur/fleet/shedding.py
+++ b/molespur/fleet/shedding.py
@@ -1,23 +1,23 @@
-"""One order of shedding: how much of each class all schedulers turn away.  Pure.
-
-Each member tells judges what it was asked for and what became of it; the acting judge adds up and keeps a
-*pace*: the jobs a second that are let in.  Where more are asked for, the rest is turned away, the lowest
-priority first, whatever scheduler it comes to.
-
-The pace starts at what the fleet was seen to serve, in time or late: the most of the last seconds, as BBR
-estimates a link's rate by the most that it was seen to carry.  While more than `BAD_HIGH` of the jobs let in
-end badly (late, refused, failed) it falls to a little less than what is served, a round at a time, since jobs
-may wait for seconds; while fewer than `BAD_LOW` do it rises, twice as far each round, so that a pace which
-is far too low (found while workers warmed, or were away) does not starve the fleet for long; between the two
-it stands (hysteresis).
-
-What is turned away is set so that what was let in becomes the pace, a step each `ACT_MS`, when the last one
-has shown.  It goes by the jobs let in, not by the tries asked for: clients that are turned away try again,
-and count many times.  A class of which the part f is turned away has 1 / (1 - f) times as many jobs as were
-let in.
-
-The judges are a few members chosen by hashing; the first acts, the others where it has said nothing for a
-while.  What it says is a register like a judgement, so that all turn away the same.
+"""Load shedding by the fleet as one: the fraction of each class that all schedulers shed.  Pure.
+
+Each member reports to judges how many jobs it was offered and how they ended.  The acting judge adds the
+reports up and controls an *admission rate*: the jobs a second that are admitted.  What is offered beyond it
+is shed, the lowest priority first, at all schedulers alike.
+
+The rate starts at what the fleet was seen to serve, in time or late: the maximum over the last seconds, as
+BBR estimates a link's rate by the maximum that it was seen to carry.  While more than `BAD_HIGH` of the
+admitted jobs end badly (late, refused, failed) the rate falls to a little less than what is served, one step
+a round, since jobs may wait for seconds.  While fewer than `BAD_LOW` do it rises, twice as far each round, so
+that a rate which is far too low (found while workers warmed up or were away) does not starve the fleet for
+long.  Between the two it stays as it is (hysteresis).
+
+The fractions are set so that the jobs admitted approach the rate, one step each `CHANGE_MS`, once the last
+step has taken effect.  They follow from the jobs admitted, not from the attempts offered: clients that are
+shed try again and count many times.  A class of which the fraction f is shed has 1 / (1 - f) times as many
+jobs as were admitted.
+
+The judges are a few members chosen by hashing.  The first one acts, the others where it has decided nothing
+for a while.  The decision is a register like a judgement, so that all members shed the same.
 """
 
 from collections import deque
@@ -28,28 +28,33 @@
 from .rendezvous import pick
 from .sharing import SharingConfig
 
-BAD_HIGH, BAD_LOW = 0.10, 0.05  # of the jobs let in that ended
-FALL, LEAST = 0.95, 0.90  # a fall of the pace, and the least that it may be of what is served
-RISE, RISE_MOST = 0.03, 1.0  # a rise of the pace after a fall, doubled at each further one, and the most
-ROUND_MS = 1_500.0  # a move of the pace shows by then
-SERVED_MS, MEAN_MS = 10_000.0, 2_000.0  # the most served is over so long, of means over so long
-CALM_MS = 3_000.0  # asked for less than the pace for so long, the fleet is no more in a crowd
-PART_MOST = 0.96  # of a class that is turned away: those let in tell how many there are
-ACT_MS = 1_500.0  # from one change of what is turned away to the next
-STEP_UP = 0.2  # of a priority at one change
-AGAIN = 0.8  # of the tries let in and refused, so many are taken to be of jobs that come again
-GONE = 0.6  # asked for so much less than just before, the crowd is going, and what was before is no guide
-FIRST_MS = 2_000.0  # of a crowd, in which changes come faster, up to the end of a priority
-LEAST_JOBS = 10  # fewer ended jobs than this say nothing
-LIFE_MS = 3_000.0  # of what the acting judge says, unless it says more
-KEPT = 2.5  # tellings after which a member's load is over
-FLAT = 50  # members up to which load is told each `load_ms`
-STEPS = 250  # a class's part as a byte of a register
+BAD_HIGH, BAD_LOW = 0.10, 0.05  # share of the admitted jobs that end badly
+DECREASE = 0.95  # factor on the rate in a round with too many bad ends
+MIN_SERVED_SHARE = 0.90  # the rate does not fall below this share of what is served
+INCREASE = 0.03  # first rise of the rate after a fall, doubled at each further one
+MAX_INCREASE = 1.0
+ROUND_MS = 1_500.0  # a change of the rate has taken effect by then
+SERVED_WINDOW_MS = 10_000.0  # over which the maximum served rate is taken
+SERVED_MEAN_MS = 2_000.0  # span of each mean of which that is the maximum
+CALM_MS = 3_000.0  # with less offered than the rate for this long, the overload has ended
+MAX_FRACTION = 0.96  # of a class that is shed: the admitted jobs show how many there are
+CHANGE_MS = 1_500.0  # interval between two changes of the fractions
+LEVEL_STEP = 0.2  # max rise of the level (in priorities) at one change
+RETRY_SHARE = 0.8  # of the attempts admitted and refused, the share taken to be of jobs that come again
+SURGE_END_SHARE = (
+    0.6  # offered less than this share of the last sum: the surge ends, and that sum is no guide
+)
+SURGE_START_MS = 2_000.0  # start of a surge, in which changes come faster, each up to the end of a priority
+MIN_ENDED_JOBS = 10  # fewer ended jobs than this are no evidence
+SHED_TTL_MS = 3_000.0  # how long a decision of the acting judge holds unless it is renewed
+REPORT_INTERVALS = 2.5  # report intervals after which a member's load expires
+FULL_RATE_MEMBERS = 50  # members up to which load is reported each `load_ms`
+STEPS = 250  # steps of a class's fraction in a register's byte
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """Jobs of one class over a time: asked for, turned away as agreed, served in time, served late, and
+    """Jobs of one class over a time: offered, shed by the fleet's decision, served in time, served late, and
     refused or failed."""
 
     offered: int = 0
@@ -63,126 +68,130 @@
                     self.late + other.late, self.bad + other.bad)  # fmt: skip
 
     @property
-    def badly(self) -> float:
-        """The part of the jobs let in that ended badly; 0 where too few ended to say."""
+    def bad_share(self) -> float:
+        """The share of the admitted jobs that ended badly; 0 where too few ended to tell."""
         ended = self.good + self.late + self.bad
-        return (self.late + self.bad) / ended if ended >= LEAST_JOBS else 0.0
+        return (self.late + self.bad) / ended if ended >= MIN_ENDED_JOBS else 0.0
 
 
-class Pace:
-    """The acting judge's state; `jobs_per_s` is None while nothing has to be turned away."""
+class AdmissionRate:
+    """The acting judge's state; `jobs_per_s` is None while nothing has to be shed."""
 
     def __init__(self):
         self.jobs_per_s: float | None = None
         self._served: deque[tuple[float, float, float]] = deque()  # (when, jobs served, over how long in s)
-        self._lately: deque[list[float]] = deque(maxlen=2)  # jobs asked for a second, by class
-        self._parts: list[float] = []
-        self._in_force: list[float] = []  # the parts while the jobs that are told of now were let in
+        self._recent: deque[list[float]] = deque(maxlen=2)  # jobs offered a second, by class
+        self._fractions: list[float] = []
+        self._in_force: list[float] = []  # the fractions while the jobs now reported were admitted
         self._level = 0.0
-        self._acted_at = float("-inf")
-        self._moved_at = self._busy_at = self._crowd_at = float("-inf")
-        self._began = float("inf")  # when anything was served first
-        self._rise, self._round = RISE, Load()  # what is told of since the pace moved
+        self._changed_at = float("-inf")
+        self._moved_at = self._busy_at = self._surge_at = float("-inf")
+        self._first_served_at = float("inf")
+        self._increase, self._round = INCREASE, Load()  # `_round`: what was reported since the rate moved
 
     def served_per_s(self, now: float) -> float:
-        """The most that the fleet was seen to serve lately, as a mean over some judgements."""
-        while self._served and now - self._served[0][0] > SERVED_MS:
+        """The maximum rate that the fleet was recently seen to serve, as a mean over some reports."""
+        while self._served and now - self._served[0][0] > SERVED_WINDOW_MS:
             self._served.popleft()
-        most, line = 0.0, list(self._served)
-        for at, _, _ in line:
-            part = [(jobs, span) for when, jobs, span in line if at - MEAN_MS < when <= at]
-            most = max(most, sum(jobs for jobs, _ in part) / sum(span for _, span in part))
+        most, served = 0.0, list(self._served)
+        for at, _, _ in served:
+            window = [(jobs, span) for when, jobs, span in served if at - SERVED_MEAN_MS < when <= at]
+            most = max(most, sum(jobs for jobs, _ in window) / sum(span for _, span in window))
         return most
 
-    def _note(self, now: float, loads: list[Load], seconds: float) -> Load:
-        all_ = sum(loads, Load())
-        self._served.append((now, all_.good + all_.late, seconds))
-        if all_.good + all_.late:
-            self._began = min(self._began, now)
-        return all_
+    def _record(self, now: float, loads: list[Load], seconds: float) -> Load:
+        total = sum(loads, Load())
+        self._served.append((now, total.good + total.late, seconds))
+        if total.good + total.late:
+            self._first_served_at = min(self._first_served_at, now)
+        return total
 
-    def judge(self, now: float, loads: list[Load], seconds: float) -> None:
-        """Move the pace by what all members told of the last seconds."""
-        all_ = self._note(now, loads, seconds)
+    def update(self, now: float, loads: list[Load], seconds: float) -> None:
+        """Move the rate by what all members reported of the last seconds."""
+        total = self._record(now, loads, seconds)
         served = self.served_per_s(now)
         if self.jobs_per_s is None:
-            if all_.badly > BAD_HIGH and served > 0:
+            if total.bad_share > BAD_HIGH and served > 0:
                 self.jobs_per_s, self._round = served, Load()
-                # what was served says little where it is short: workers may just have come up, as we have
-                self._rise = RISE if now - self._began > 2 * MEAN_MS else RISE_MOST
-                self._moved_at = self._busy_at = self._crowd_at = now
+                # a short history says little about what can be served: workers may have just started
+                self._increase = (
+                    INCREASE if now - self._first_served_at > 2 * SERVED_MEAN_MS else MAX_INCREASE
+                )
+                self._moved_at = self._busy_at = self._surge_at = now
             return
-        if any(self._parts) or all_.offered / seconds > self.jobs_per_s:
+        if any(self._fractions) or total.offered / seconds > self.jobs_per_s:
             self._busy_at = now
         if now - self._busy_at > CALM_MS:
             self.jobs_per_s = None
             return
-        self._round += all_
+        self._round += total
         if now - self._moved_at < ROUND_MS:
             return
-        badly, self._round, self._moved_at = self._round.badly, Load(), now
-        if badly > BAD_HIGH:
-            self.jobs_per_s = max(FALL * min(self.jobs_per_s, served), LEAST * served)
-        elif badly < BAD_LOW:
-            self.jobs_per_s *= 1 + self._rise
-        self._rise = min(2 * self._rise, RISE_MOST) if badly < BAD_LOW else RISE
-
-    def parts(self, now: float, loads: list[Load], seconds: float, priorities: list[int]) -> list[float]:
-        """Of each class the part to turn away from now on, the lowest priority first."""
-        # guards against parts that have just risen: few of the jobs told of were let in under them
-        before, self._in_force = self._in_force or [0.0] * len(loads), list(self._parts)
-        asked = [
-            (one.offered - one.shed - AGAIN * one.bad) / seconds / (1.0 - part)
-            for one, part in zip(loads, before, strict=True)
+        bad_share, self._round, self._moved_at = self._round.bad_share, Load(), now
+        if bad_share > BAD_HIGH:
+            self.jobs_per_s = max(DECREASE * min(self.jobs_per_s, served), MIN_SERVED_SHARE * served)
+        elif bad_share < BAD_LOW:
+            self.jobs_per_s *= 1 + self._increase
+        self._increase = min(2 * self._increase, MAX_INCREASE) if bad_share < BAD_LOW else INCREASE
+
+    def fractions(self, now: float, loads: list[Load], seconds: float, priorities: list[int]) -> list[float]:
+        """The fraction of each class to shed from now on, the lowest priority first."""
+        # guards against fractions that have just risen: few of the reported jobs were admitted under them
+        before, self._in_force = self._in_force or [0.0] * len(loads), list(self._fractions)
+        offered = [
+            (one.offered - one.shed - RETRY_SHARE * one.bad) / seconds / (1.0 - fraction)
+            for one, fraction in zip(loads, before, strict=True)
         ]
-        if self._lately and sum(asked) < GONE * sum(self._lately[-1]):
-            self._lately.clear()
-        self._lately.append(asked)
+        if self._recent and sum(offered) < SURGE_END_SHARE * sum(self._recent[-1]):
+            self._recent.clear()
+        self._recent.append(offered)
         if self.jobs_per_s is None:
-            self._parts, self._level, self._acted_at = [0.0] * len(loads), 0.0, now - ACT_MS
-            return self._parts
-        jobs = [sum(found) / len(found) for found in zip(*self._lately, strict=True)]
+            self._fractions, self._level, self._changed_at = [0.0] * len(loads), 0.0, now - CHANGE_MS
+            return self._fractions
+        jobs = [sum(found) / len(found) for found in zip(*self._recent, strict=True)]
         wanted = _level(jobs, sum(jobs) - self.jobs_per_s, priorities)
-        first, gone = now - self._crowd_at <= FIRST_MS, wanted <= self._level / 2
-        # a crowd that comes or goes is not waited for
-        if now - self._acted_at >= (ACT_MS / 3 if first or gone else ACT_MS):
-            self._acted_at = now
-            if first:
+        starting, ending = now - self._surge_at <= SURGE_START_MS, wanted <= self._level / 2
+        # a surge that starts or ends is followed faster
+        if now - self._changed_at >= (CHANGE_MS / 3 if starting or ending else CHANGE_MS):
+            self._changed_at = now
+            if starting:
                 self._level = min(wanted, int(self._level) + 1.0)
             else:
-                # guards against jobs let in that were refused all the same and came again, counted as many
-                self._level = min(wanted, (wanted + self._level) / 2, self._level + STEP_UP)
+                # guards against counting a job many times that is admitted, refused and submitted again
+                self._level = min(wanted, (wanted + self._level) / 2, self._level + LEVEL_STEP)
             order = sorted(set(priorities))
-            self._parts = [min(max(self._level - order.index(p), 0.0), PART_MOST) for p in priorities]
-        return self._parts
-
-    def follow(self, now: float, loads: list[Load], seconds: float, parts: list[float], priorities) -> None:
-        """Another acts as judge: keep what it would take to go on where it stops."""
-        self._note(now, loads, seconds)
-        self._parts = self._in_force = parts
-        by_priority = {p: part for p, part in zip(priorities, parts, strict=True)}
-        self._level = sum(1.0 if part >= PART_MOST else part for part in by_priority.values())
-        self._lately.clear()
-        self._round, self._moved_at, self._busy_at, self._rise = Load(), now, now, RISE
+            self._fractions = [min(max(self._level - order.index(p), 0.0), MAX_FRACTION) for p in priorities]
+        return self._fractions
+
+    def follow(
+        self, now: float, loads: list[Load], seconds: float, fractions: list[float], priorities
+    ) -> None:
+        """Another judge acts: keep what is needed to go on where it stops."""
+        self._record(now, loads, seconds)
+        self._fractions = self._in_force = fractions
+        by_priority = {p: fraction for p, fraction in zip(priorities, fractions, strict=True)}
+        self._level = sum(1.0 if f >= MAX_FRACTION else f for f in by_priority.values())
+        self._recent.clear()
+        self._round, self._moved_at, self._busy_at, self._increase = Load(), now, now, INCREASE
         served = self.served_per_s(now)
         self.jobs_per_s = served if self._level and served else None
 
 
-def _level(jobs: list[float], over: float, priorities: list[int]) -> float:
-    """How many priorities, the lowest first, make up `over` jobs a second: 1.5 is one and half the next."""
+def _level(jobs: list[float], excess: float, priorities: list[int]) -> float:
+    """How many priorities, the lowest first, make up `excess` jobs a second: 1.5 is one and half the next."""
     level = 0.0
     for priority in sorted(set(priorities)):
         mine = sum(jobs[i] for i, p in enumerate(priorities) if p == priority)
-        if over <= 0 or mine <= 0:
+        if excess <= 0 or mine <= 0:
             break
-        level += min(over / mine, 1.0)
-        over -= mine
+        level += min(excess / mine, 1.0)
+        excess -= mine
     return level
 
 
-def to_bytes(parts: Iterable[float]) -> bytes:
-    """Parts as a register's value, rounded up to steps; the classes' order is that of the settings."""
-    return bytes(min(ceil(part * STEPS), STEPS) for part in parts)
+def to_bytes(fractions: Iterable[float]) -> bytes:
+    """Fractions as a register's value, rounded up to steps, in the settings' order of the classes."""
+    return bytes(min(ceil(fraction * STEPS), STEPS) for fraction in fractions)
 
 
 def from_bytes(value: bytes) -> list[float]:
@@ -190,56 +199,61 @@
 
 
 class LoadJudge:
-    """One member's side of judging the fleet's load, which it does where it is one of the judges."""
+    """One member's side of judging the fleet's load, in use where it is one of the judges."""
 
-    def __init__(self, me: str, share: SharingConfig):
-        self.me, self.share, self.pace = me, share, Pace()
-        self.acting = False  # what we say is in force, or will be
-        # member -> (its life and telling, when heard, over how long, its loads)
-        self._told: dict[str, tuple[tuple[int, int], float, float, list[Load]]] = {}
+    def __init__(self, me: str, config: SharingConfig):
+        self.me, self.config, self.admission = me, config, AdmissionRate()
+        self.acting = False  # our decision is in force, or will be
+        # member -> ((instance, seq), when received, span of the report, its loads)
+        self._reports: dict[str, tuple[tuple[int, int], float, float, list[Load]]] = {}
 
-    def every_ms(self, members: int) -> float:
-        """How often load is told: seldomer in large fleets, so that a judge is not told more a second."""
-        return self.share.load_ms * max(1.0, members / FLAT)
+    def report_interval_ms(self, members: int) -> float:
+        """How often load is reported: less often in large fleets, which bounds a judge's reports a second."""
+        return self.config.load_ms * max(1.0, members / FULL_RATE_MEMBERS)
 
     def judges(self, members: list[str]) -> list[str]:
-        return pick("load", members, self.share.judges)
+        return pick("load", members, self.config.judges)
 
-    def take(self, member: str, order: tuple[int, int], now: float, span_ms: float, loads) -> bool:
-        """A member's load over `span_ms`; False where it makes no sense or is late."""
-        held = self._told.get(member)
-        if len(loads) != len(self.share.priorities) or not 0 < span_ms < 60_000:
+    def record(self, member: str, order: tuple[int, int], now: float, span_ms: float, loads) -> bool:
+        """Take a member's load over `span_ms`; False where it is invalid or out of order."""
+        held = self._reports.get(member)
+        if len(loads) != len(self.config.priorities) or not 0 < span_ms < 60_000:
             return False
         if held is not None and held[0] >= order:
             return False
-        self._told[member] = (order, now, span_ms, [Load(*one) for one in loads])
+        self._reports[member] = (order, now, span_ms, [Load(*one) for one in loads])
         return True
 
-    def judge(
-        self, now: float, members: list[str], said_age_ms: float | None, said: tuple[float, ...] = ()
+    def decide(
+        self, now: float, members: list[str], decided_age_ms: float | None, decided: tuple[float, ...] = ()
     ) -> list[float] | None:
-        """What is to be turned away of each class; None where we are not to say (now).
+        """The fraction of each class to shed; None where it is not for us to decide (now).
 
-        `said` is what is turned away, `said_age_ms` how long ago anyone said it last; None: not lately.
+        `decided` is what is shed now, `decided_age_ms` the age of the last decision of any judge; None: there
+        was no recent one.
         """
         judges, self.acting = self.judges(members), False
         if self.me not in judges:
             return None
-        every, known = self.every_ms(len(members)), set(members)
-        kept = (item for item in self._told.items() if item[0] in known and now - item[1][1] < KEPT * every)
-        self._told = dict(kept)
-        sums = [Load()] * len(self.share.priorities)
-        for _, _, span, loads in self._told.values():
-            part = every / span
+        interval_ms, known = self.report_interval_ms(len(members)), set(members)
+        kept = (
+            item
+            for item in self._reports.items()
+            if item[0] in known and now - item[1][1] < REPORT_INTERVALS * interval_ms
+        )
+        self._reports = dict(kept)
+        sums = [Load()] * len(self.config.priorities)
+        for _, _, span, loads in self._reports.values():
+            scale = interval_ms / span
             scaled = (
-                Load(*(round(part * x) for x in (b.offered, b.shed, b.good, b.late, b.bad))) for b in loads
+                Load(*(round(scale * x) for x in (b.offered, b.shed, b.good, b.late, b.bad))) for b in loads
             )
             sums = [a + b for a, b in zip(sums, scaled, strict=True)]
-        rank, priorities = judges.index(self.me), list(self.share.priorities)
-        if rank and said_age_ms is not None and said_age_ms < rank * LIFE_MS / 2:
-            parts = list(said) or [0.0] * len(priorities)
-            self.pace.follow(now, sums, every / 1000, parts, priorities)
+        rank, priorities = judges.index(self.me), list(self.config.priorities)
+        if rank and decided_age_ms is not None and decided_age_ms < rank * SHED_TTL_MS / 2:
+            fractions = list(decided) or [0.0] * len(priorities)
+            self.admission.follow(now, sums, interval_ms / 1000, fractions, priorities)
             return None
         self.acting = True
-        self.pace.judge(now, sums, every / 1000)
-        return self.pace.parts(now, sums, every / 1000, priorities)
+        self.admission.update(now, sums, interval_ms / 1000)
+        return self.admission.fractions(now, sums, interval_ms / 1000, priorities)
--- a/molespur/fleet/state.py
+++ b/molespur/fleet/state.py
@@ -1,8 +1,8 @@
-"""The fleet's seam with shared state: `gossip.Transport`, and beside the view what `shared.SharedState` says.
+"""The transport of a member that shares state: `gossip.Transport`, plus the actions of `shared.SharedState`.
 
-It holds no rule of its own: it brings messages and what became of upstream requests to the pure machine,
-carries out what that says, and applies the budgets to the program (`uses.FleetAdapter`) at each tick, and at
-once where something was lent.  Counters are `fleet.shared.*`.
+It contains no rules.  It passes messages and the ends of upstream requests to the pure machine, carries out
+its actions, and applies the budgets to the program (`uses.FleetAdapter`) at each tick, and at once where
+something was lent.  Counters are `fleet.shared.*`.
 """
 
 import time
@@ -24,8 +24,8 @@
     Tick,
     TicketsChanged,
     WorkerJudgedBad,
-    load_report,
-    report,
+    budget_lines,
+    load_lines,
 )
 from .sharing import StateMessage
 from .uses import FleetAdapter
@@ -34,23 +34,23 @@
 
 
 class StateTransport(Transport):
-    """One member on the network that shares state; `attach_state` joins it before `open`."""
+    """One member on the network that shares state; `attach_state` has to be called before `open`."""
 
-    def attach_state(self, machine: SharedState, uses: FleetAdapter, adapts: bool) -> None:
-        """Share state by this pure machine, for these uses; `adapts`: limits follow the service time."""
-        self.machine, self.uses = machine, uses
-        self._viewed: dict[str, Address] | None = None  # who lives, as the machine was told
-        self._lent = 0  # loans lent when the program was last held to its budgets
+    def attach_state(self, machine: SharedState, adapter: FleetAdapter, adapts: bool) -> None:
+        """Share state by this machine and adapter; `adapts`: connection limits follow the service time."""
+        self.machine, self.adapter = machine, adapter
+        self._members: dict[str, Address] | None = None  # alive members, as last passed to the machine
+        self._lent = 0  # loans lent when the budgets were last applied to the program
         self.membership.shared_state = lambda: wire.encode_snapshot(machine.snapshot(self.clock.now()))
-        uses.connect(machine, self._tell, self._hold, adapts)
+        adapter.connect(machine, self._notify, self._apply_budgets, adapts)
 
     def budgets(self) -> list[str]:
-        """Shared budgets, who holds them, judgements and counts, as lines (`shared.report`)."""
-        return report(self.machine, self.clock.now())
+        """Shared budgets, who holds them, judgements and counters, as lines (`shared.budget_lines`)."""
+        return budget_lines(self.machine, self.clock.now())
 
     def load(self) -> list[str]:
-        """What is turned away, retries and probes over the fleet, as lines (`shared.load_report`)."""
-        return load_report(self.machine, self.clock.now(), self.uses.names)
+        """What is shed, retries and probes over the fleet, as lines (`shared.load_lines`)."""
+        return load_lines(self.machine, self.clock.now(), self.adapter.class_names)
 
     def publish(self) -> None:
         super().publish()
@@ -67,49 +67,53 @@
 
     def _ticked(self, now: float) -> None:
         alive = {m.id: m.address for m in self.membership.members.values() if m.state <= State.SUSPECT}
-        if alive != self._viewed:
-            self._viewed = alive
-            self._tell(MembersChanged(alive))
-        for name, count in self.uses.counted().items():
+        if alive != self._members:
+            self._members = alive
+            self._notify(MembersChanged(alive))
+        for name, count in self.adapter.take_counts().items():
             self.machine.totals.add(name, count)
-        self._tell(Tick())
-        self._hold()
+        self._notify(Tick())
+        self._apply_budgets()
 
     def _drained(self) -> None:
         if self._lent != self.machine.escrow.counts["loans_lent"]:
-            self._hold()  # guards against spending what has just been lent
+            self._apply_budgets()  # guards against spending what has just been lent
 
-    def _shared(self, message: StateMessage) -> None:
-        self._tell(StateReceived(message))
+    def _receive_state(self, message: StateMessage) -> None:
+        self._notify(StateReceived(message))
 
-    def _carried(self, exchange) -> None:
+    def _receive_snapshot(self, exchange) -> None:
         snapshot, why = wire.decode_snapshot(exchange.shared_state)
         if snapshot is not None:
-            self._tell(SnapshotReceived(snapshot))
+            self._notify(SnapshotReceived(snapshot))
         elif why:
             self.counters["fleet.whole_dropped." + why] += 1
 
-    def _do_more(self, action) -> None:
+    def _perform_other(self, action) -> None:
         if isinstance(action, WorkerJudgedBad):
-            about = asdict(action.verdict) if action.verdict else {}  # known to the judge alone
-            log.warning("fleet.judged_bad", worker=action.worker, by=action.by, **about)
+            evidence = asdict(action.verdict) if action.verdict else {}  # known only to the judge
+            log.warning("fleet.judged_bad", worker=action.worker, by=action.by, **evidence)
         elif isinstance(action, JudgementExpired):
             log.info("fleet.judgement_over", worker=action.worker)
         elif isinstance(action, TicketsChanged):
             log.info("fleet.tickets", before=action.before, after=action.after)
         elif isinstance(action, ReportReceived):
-            self.uses.learnt(action.worker, action.fields)
+            self.adapter.deliver_report(action.worker, action.fields)
         elif isinstance(action, SheddingChanged):
-            log.warning("fleet.shed", by=action.by, **dict(zip(self.uses.names, action.parts, strict=False)))
+            log.warning(
+                "fleet.shed",
+                by=action.by,
+                **dict(zip(self.adapter.class_names, action.fractions, strict=False)),
+            )
         elif isinstance(action, StateRefused):
             log.warning("fleet.state_refused", member=action.member, why=action.why)
 
     # -- Between the machine and the program -----------------------------------------------------
 
-    def _tell(self, event) -> None:
-        self._do(self.machine.handle(self.clock.now(), time.time() * 1000, event))
+    def _notify(self, event) -> None:
+        self._perform(self.machine.handle(self.clock.now(), time.time() * 1000, event))
 
-    def _hold(self) -> None:
-        """Hold the program to what is shared, as it is now."""
+    def _apply_budgets(self) -> None:
+        """Apply what is shared now to the program."""
         self._lent = self.machine.escrow.counts["loans_lent"]
-        self.uses.refresh()
+        self.adapter.refresh()
--- a/tests/fleet/test_load.py
+++ b/tests/fleet/test_load.py
@@ -5,10 +5,18 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from molespur.fleet.concurrency import LEAST, MOST, Gradient
+from molespur.fleet.concurrency import MAX_LIMIT, MIN_LIMIT, GradientLimit
 from molespur.fleet.retries import RetryBudget
 from molespur.fleet.sharing import ReportSubscription, SharingConfig
-from molespur.fleet.shedding import ACT_MS, LIFE_MS, Load, LoadJudge, Pace, from_bytes, to_bytes
+from molespur.fleet.shedding import (
+    CHANGE_MS,
+    SHED_TTL_MS,
+    AdmissionRate,
+    Load,
+    LoadJudge,
+    from_bytes,
+    to_bytes,
+)
 from molespur.fleet.watching import Watching
 from molespur.standins.virtual_site import FleetSite
 
@@ -96,42 +104,42 @@
     share, workers = SharingConfig(size=n, watchers=2), frozenset(f"w{k}" for k in range(40))
     members = {f"m{i}": Watching(f"m{i}", share) for i in range(n)}
     for name, one in members.items():
-        one.members(m for m in members if m != name)
-        one.listed(workers)
-        one.reports()
+        one.set_members(m for m in members if m != name)
+        one.set_workers(workers)
+        one.take_reports()
     watchers = {w: [m for m, one in members.items() if w in one.watched] for w in workers}
     assert all(len(found) == 2 for found in watchers.values()), "flat from 10 to 200"
-    for to, using in members["m3"].using(["w1", "w2"], 0.0):
-        members[to].used_by(using, 0.0)
+    for to, subscription in members["m3"].subscriptions(["w1", "w2"], 0.0):
+        members[to].add_subscription(subscription, 0.0)
     for worker in ("w1", "w2", "w3"):
         watcher = members[watchers[worker][0]]
-        watcher.probed(worker, {"queue": 1.0})
-        sent = {(to, r.worker) for to, reports in watcher.reports() for r in reports.reports}
+        watcher.record_report(worker, {"queue": 1.0})
+        sent = {(to, r.worker) for to, reports in watcher.take_reports() for r in reports.reports}
         expected = worker != "w3" and watchers[worker][0] != "m3"
         assert sent == ({("m3", worker)} if expected else set())
     gone = watchers["w1"][0]
     for name, one in members.items():
-        one.members(m for m in members if m not in (name, gone))
-        one.reports()
+        one.set_members(m for m in members if m not in (name, gone))
+        one.take_reports()
     assert sum("w1" in one.watched for name, one in members.items() if name != gone) == 2, "chosen anew"
 
 
 def test_users_are_forgotten_and_other_workers_passed_over():
-    one = Watching("a", SharingConfig(size=1, watchers=2, using_ms=1000.0))
-    one.members(["b"])
-    one.listed(frozenset({"w"}))
-    one.reports()
-    one.used_by(ReportSubscription("b", ["w", "elsewhere"]), 0.0)
-    assert one.users("w") == ["b"] and one.users("elsewhere") == []
-    one.using([], 2_500.0)
-    assert one.users("w") == []
+    one = Watching("a", SharingConfig(size=1, watchers=2, subscribe_ms=1000.0))
+    one.set_members(["b"])
+    one.set_workers(frozenset({"w"}))
+    one.take_reports()
+    one.add_subscription(ReportSubscription("b", ["w", "elsewhere"]), 0.0)
+    assert one.subscribers("w") == ["b"] and one.subscribers("elsewhere") == []
+    one.subscriptions([], 2_500.0)
+    assert one.subscribers("w") == []
 
 
 # -- Shedding --------------------------------------------------------------------------------------
 
 
-def crowd(pace, seconds, offered, priorities=(0, 1), share=(0.7, 0.3), capacity=100.0, start=0.0):
-    """Play jobs a second at a site of a capacity that follows the pace's parts; (parts, let in a second)."""
+def crowd(rate, seconds, offered, priorities=(0, 1), share=(0.7, 0.3), capacity=100.0, start=0.0):
+    """Play jobs a second at a site of a capacity that follows the rate's parts; (parts, let in a second)."""
     parts, let_in, now = [0.0] * len(share), 0.0, start
     while now < start + seconds * 1000:
         now += 500.0
@@ -144,41 +152,41 @@
             inside = amount * (1 - part) / 2
             loads.append(Load(round(amount / 2), round(amount * part / 2), round(inside * good), 0,
                               round(inside * (1 - good))))  # fmt: skip
-        pace.judge(now, loads, 0.5)
-        parts = pace.parts(now, loads, 0.5, list(priorities))
+        rate.update(now, loads, 0.5)
+        parts = rate.fractions(now, loads, 0.5, list(priorities))
     return parts, let_in
 
 
 @pytest.mark.parametrize("times", [0.5, 0.9, 1.5, 2.0, 3.0, 6.0])
 def test_what_is_let_in_follows_what_can_be_served_the_lowest_priority_first(times):
-    pace = Pace()
-    parts, let_in = crowd(pace, 30, 100.0 * times)
+    rate = AdmissionRate()
+    parts, let_in = crowd(rate, 30, 100.0 * times)
     if times < 1:
-        assert parts == [0.0, 0.0] and pace.jobs_per_s is None
+        assert parts == [0.0, 0.0] and rate.jobs_per_s is None
         return
     assert 85.0 <= let_in <= 130.0
     assert parts[0] > 0.3 and (parts[1] == 0.0 or parts[0] > 0.9)
-    parts, _ = crowd(pace, 2, 70.0, start=30_000.0)
+    parts, _ = crowd(rate, 2, 70.0, start=30_000.0)
     assert parts == [0.0, 0.0], "a crowd that has gone is let in again within 2 s"
 
 
 def test_a_pace_found_while_nothing_worked_does_not_starve_the_fleet():
     """Guards against a metastable state of our own: what is let in is all that can be seen to be served."""
-    pace = Pace()
-    crowd(pace, 6, 180.0, capacity=6.0)
-    assert pace.jobs_per_s < 15
-    _, let_in = crowd(pace, 15, 180.0, capacity=200.0, start=6_000.0)
+    rate = AdmissionRate()
+    crowd(rate, 6, 180.0, capacity=6.0)
+    assert rate.jobs_per_s < 15
+    _, let_in = crowd(rate, 15, 180.0, capacity=200.0, start=6_000.0)
     assert let_in > 120.0
-    assert crowd(pace, 6, 180.0, capacity=200.0, start=21_000.0)[0] == [0.0, 0.0]
+    assert crowd(rate, 6, 180.0, capacity=200.0, start=21_000.0)[0] == [0.0, 0.0]
 
 
 def test_classes_of_one_priority_are_turned_away_alike_and_no_ended_jobs_say_nothing():
-    parts, _ = crowd(Pace(), 20, 300.0, priorities=(1, 1))
+    parts, _ = crowd(AdmissionRate(), 20, 300.0, priorities=(1, 1))
     assert parts[0] == parts[1] > 0.5
-    pace = Pace()
+    rate = AdmissionRate()
     for now in range(0, 5000, 500):
-        pace.judge(float(now), [Load(5, 0, 0, 0, 5)], 0.5)
-    assert pace.jobs_per_s is None, "too few jobs to speak of a crowd, and nothing was served"
+        rate.update(float(now), [Load(5, 0, 0, 0, 5)], 0.5)
+    assert rate.jobs_per_s is None, "too few jobs to speak of a crowd, and nothing was served"
 
 
 @given(st.lists(st.floats(0, 1), max_size=64))
@@ -194,29 +202,31 @@
     for order, now in enumerate(range(0, 4000, 500)):
         for judge in (first, second):
             for member in members:
-                took = judges[judge].take(
+                took = judges[judge].record(
                     member, (1, order), float(now), 500.0, [(40, 0, 10, 0, 30), (20, 0, 10, 0, 10)]
                 )
-                assert took and not judges[judge].take(member, (1, order), float(now), 500.0, [(0,) * 5] * 2)
-        said = judges[first].judge(float(now), members, 0.0)
-        assert judges[second].judge(float(now), members, LIFE_MS / 2 - 1, tuple(said)) is None
+                assert took and not judges[judge].record(
+                    member, (1, order), float(now), 500.0, [(0,) * 5] * 2
+                )
+        said = judges[first].decide(float(now), members, 0.0)
+        assert judges[second].decide(float(now), members, SHED_TTL_MS / 2 - 1, tuple(said)) is None
     assert said[0] > 0.5 and judges[first].acting and not judges[second].acting
-    assert judges[second].judge(4000.0, members, LIFE_MS / 2) == pytest.approx(said, abs=0.2), "goes on"
-    assert judges[second].judge(4500.0, members, 0.0, (0.0, 0.0)) is None
-    assert judges[second].pace.jobs_per_s is None, "what it did once is not kept for the next crowd"
+    assert judges[second].decide(4000.0, members, SHED_TTL_MS / 2) == pytest.approx(said, abs=0.2), "goes on"
+    assert judges[second].decide(4500.0, members, 0.0, (0.0, 0.0)) is None
+    assert judges[second].admission.jobs_per_s is None, "what it did once is not kept for the next crowd"
     assert (
-        judges[next(m for m in members if m not in (first, second, third))].judge(4000.0, members, None)
+        judges[next(m for m in members if m not in (first, second, third))].decide(4000.0, members, None)
         is None
     )
-    assert not judges[first].take("m1", (1, 99), 0.0, 500.0, [(1,) * 5]), "other classes than ours"
-    assert ACT_MS < LIFE_MS
+    assert not judges[first].record("m1", (1, 99), 0.0, 500.0, [(1,) * 5]), "other classes than ours"
+    assert CHANGE_MS < SHED_TTL_MS
 
 
 # -- Concurrency -----------------------------------------------------------------------------------
 
 
 def test_a_limit_shrinks_where_answers_take_longer_and_grows_where_there_is_room():
-    one = Gradient()
+    one = GradientLimit()
     for _ in range(200):
         one.sample(50.0, int(one.limit))
     grown = one.limit
@@ -231,10 +241,10 @@
 
 @given(st.lists(st.tuples(st.floats(-10, 1e6), st.integers(0, 2000)), max_size=200))
 def test_a_limit_stays_within_its_bounds(samples):
-    one = Gradient()
+    one = GradientLimit()
     for took, at_once in samples:
         one.sample(took, at_once)
-        assert LEAST <= one.limit <= MOST
+        assert MIN_LIMIT <= one.limit <= MAX_LIMIT
 
 
 # -- The module's instances with all of it, in virtual time ----------------------------------------
--- a/tests/fleet/test_state.py
+++ b/tests/fleet/test_state.py
@@ -9,9 +9,9 @@
 
 from molespur.fleet import shared, wire
 from molespur.fleet.crdt import CounterRow, FleetCounters, HybridClock, LWWMap, Register, Stamp
-from molespur.fleet.evidence import Evidence, Own
+from molespur.fleet.evidence import Evidence, RequestWindow
 from molespur.fleet.judgements import BAD, Judgements
-from molespur.fleet.rendezvous import Spread, pick
+from molespur.fleet.rendezvous import Assignment, pick
 from molespur.fleet.sharing import (
     BudgetKind,
     Loan,
@@ -47,7 +47,7 @@
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(-50, 50), st.integers(0, 3)), max_size=40))
 def test_the_clock_only_goes_forward_and_refuses_the_far_future(steps):
-    clock, physical, last = HybridClock("a", ahead_most_ms=10), 1000, Stamp(0, 0, "")
+    clock, physical, last = HybridClock("a", max_ahead_ms=10), 1000, Stamp(0, 0, "")
     for ours, jump, lag in steps:
         physical = max(0, physical + jump)
         if ours:
@@ -79,13 +79,13 @@
 @given(st.sets(st.integers(0, 40)), st.lists(st.sets(MEMBERS), max_size=6))
 def test_things_fall_to_members_alike_however_the_view_came_to_be(numbers, views):
     assert from_bitmap(to_bitmap(numbers)) == numbers
-    spread = Spread("t/", 32)
+    assignment = Assignment("t/", 32)
     for view in views:
-        spread.change(view)
-        fresh = Spread("t/", 32)
-        fresh.change(view)
-        assert spread.owner == fresh.owner
-        assert spread.owner == [(pick(f"t/{i}", view, 1) or [""])[0] for i in range(32)]
+        assignment.set_members(view)
+        fresh = Assignment("t/", 32)
+        fresh.set_members(view)
+        assert assignment.owners == fresh.owners
+        assert assignment.owners == [(pick(f"t/{i}", view, 1) or [""])[0] for i in range(32)]
 
 
 # -- Tickets, by hand ------------------------------------------------------------------------------
@@ -93,8 +93,8 @@
 THREE = SharingConfig(witnesses=("x", "y", "z"), size=4, tickets=8, kinds=COLD)
 
 
-def asking(member, life, seq, *tickets):
-    return TicketRequest(seq, member, life, THREE.fingerprint, to_bitmap(tickets))
+def asking(member, instance, seq, *tickets):
+    return TicketRequest(seq, member, instance, THREE.fingerprint, to_bitmap(tickets))
 
 
 def test_a_witness_lends_a_ticket_to_one_life_until_its_time_and_grace_are_over():
@@ -136,8 +136,8 @@
     for say in says:
         assert again.handle_reply(say)
     assert again.owned(10_300.0) == [], "a yes from before it was let go tells nothing of now"
-    for seq, witness, life in ((9, "x", 2), (3, "q", 2), (3, "x", 1)):
-        assert not again.handle_reply(TicketReply(seq, witness, life, first.tickets))
+    for seq, witness, instance in ((9, "x", 2), (3, "q", 2), (3, "x", 1)):
+        assert not again.handle_reply(TicketReply(seq, witness, instance, first.tickets))
 
 
 # -- Loans, by hand --------------------------------------------------------------------------------
@@ -149,8 +149,8 @@
     return Escrow(me, 1, share, lambda now: [1e9] * tickets, lambda name, now: used, random.Random(1), -1e6)
 
 
-def wish(lack, seq=1, src="b", life=1):
-    return LoanRequest(seq, src, life, THREE.fingerprint, [Shortfall("cold/w", lack)])
+def wish(lack, seq=1, src="b", instance=1):
+    return LoanRequest(seq, src, instance, THREE.fingerprint, [Shortfall("cold/w", lack)])
 
 
 UNIT = THREE.ticket_amount(100.0)
@@ -395,10 +395,10 @@
 def test_verdicts(told, bad):
     evidence = Evidence(SharingConfig(size=20))
     for i, (sent, failed) in enumerate(told):
-        assert evidence.tell(f"m{i}", (1, 1), RequestCounts("w", sent, failed), 0.0) == ""
+        assert evidence.record(f"m{i}", (1, 1), RequestCounts("w", sent, failed), 0.0) == ""
     assert evidence.verdict("w").bad is bad
     evidence.expire(10_000.0)
-    assert not evidence.verdict("w").bad and not evidence.told, "it ages out"
+    assert not evidence.verdict("w").bad and not evidence.reports, "it ages out"
 
 
 @given(st.lists(st.tuples(MEMBERS, st.integers(1, 5), st.integers(0, 9)), max_size=30), st.randoms())
@@ -410,36 +410,36 @@
     rng.shuffle(shuffled)
     for store, line in ((a, items), (b, shuffled)):
         for member, order, seen in line:
-            store.tell(member, (1, order), seen, 0.0)
-    assert a.told == b.told
+            store.record(member, (1, order), seen, 0.0)
+    assert a.reports == b.reports
 
 
 def test_evidence_is_refused_by_reason_and_bounded():
-    share = SharingConfig(size=4, most_workers=10)
-    store, own = Evidence(share), Own(share)
-    assert store.tell("a", (1, 1), RequestCounts("w", 1, 5), 0.0) == "absurd"
+    share = SharingConfig(size=4, max_workers=10)
+    store, window = Evidence(share), RequestWindow(share)
+    assert store.record("a", (1, 1), RequestCounts("w", 1, 5), 0.0) == "absurd"
     for n in range(50):
-        store.tell(f"m{n}", (1, 1), RequestCounts("w", 1, 1), 0.0)
-        store.tell("a", (1, n), RequestCounts(f"v{n}", 1, 1), 0.0)
-        own.saw(f"v{n}", True, 0.0)
-    assert len(store.told) == 10 and len(store.told["w"]) == 32 and len(own.window(0.0)) == 10
-    assert store.tell("m0", (1, 1), RequestCounts("w", 1, 1), 0.0) == "old"
+        store.record(f"m{n}", (1, 1), RequestCounts("w", 1, 1), 0.0)
+        store.record("a", (1, n), RequestCounts(f"v{n}", 1, 1), 0.0)
+        window.record(f"v{n}", True, 0.0)
+    assert len(store.reports) == 10 and len(store.reports["w"]) == 32 and len(window.counts(0.0)) == 10
+    assert store.record("m0", (1, 1), RequestCounts("w", 1, 1), 0.0) == "old"
 
 
 def test_judgements_end_with_their_age_and_clocks_that_are_off_do_no_harm():
     ours, theirs = Judgements("a", 10_000.0), Judgements("b", 10_000.0)
     said = theirs.write("w", BAD, 0.0, 11_000.0)  # b's clock is 10 s ahead
-    assert ours.hear(said, 0.0, 1_000.0) == "from_the_future" and not ours.having(BAD, 0.0)
+    assert ours.merge(said, 0.0, 1_000.0) == "from_the_future" and not ours.keys_with(BAD, 0.0)
     theirs = Judgements("b", 10_000.0)
     for peer in "cde":
-        theirs.compare(peer, -10_000.0)  # it hears that the others' clocks are behind its own
-    assert ours.hear(theirs.write("w", BAD, 0.0, 11_000.0), 0.0, 1_000.0) == ""
-    told = ours.told("w", 4_000.0)
+        theirs.record_clock_offset(peer, -10_000.0)  # it hears that the others' clocks are behind its own
+    assert ours.merge(theirs.write("w", BAD, 0.0, 11_000.0), 0.0, 1_000.0) == ""
+    told = ours.get("w", 4_000.0)
     late = Judgements("c", 10_000.0)
-    assert told.age_ms == 4_000.0 and late.hear(told, 500.0, 5_000.0) == ""
-    assert late.having(BAD, 6_499.0) == {"w"} and not late.having(BAD, 6_500.0)
-    assert ours.expire(10_000.0) == ["w"] and late.told("w", 7_000.0) is None
-    assert ours.hear(told.__class__("w", told.stamp, BAD, 10_000.0), 10_001.0, 11_000.0) == "over"
+    assert told.age_ms == 4_000.0 and late.merge(told, 500.0, 5_000.0) == ""
+    assert late.keys_with(BAD, 6_499.0) == {"w"} and not late.keys_with(BAD, 6_500.0)
+    assert ours.expire(10_000.0) == ["w"] and late.get("w", 7_000.0) is None
+    assert ours.merge(told.__class__("w", told.stamp, BAD, 10_000.0), 10_001.0, 11_000.0) == "over"
 
 
 def judged(made):
