--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -1,7 +1,7 @@
-"""Real `python -m molespur serve` processes in a fleet, faults between them: issue 21's hard cases 1 to 6.
+"""Real `python -m molespur serve` processes in a fleet, faults between them: cases 1 to 6 of issue 21.
 
-Each member is on its own 127.N.2.x behind the fault line; the tuning is fast (a probe each 200 ms) so that
-each case takes seconds; the bounds below are what the design promises for it (docs/design/fleet_view.md).
+Each member has its own address 127.N.2.x behind the fault line.  The tuning is fast (a probe each 200 ms), so
+that each case takes seconds.  The bounds below are those of the design for it (docs/design/fleet_view.md).
 """
 
 import random
@@ -39,10 +39,10 @@
 
 
 def until(condition, seconds):
-    """Wait for something to be so, bounded."""
+    """Wait until a condition holds, bounded."""
     end = time.monotonic() + seconds
     while not condition():
-        assert time.monotonic() < end, "it never came to be so"
+        assert time.monotonic() < end, "the condition did not hold in time"
         time.sleep(0.1)
 
 
@@ -87,15 +87,15 @@
     began = time.time()
     fleet.restart(6)
     fleet.ready(6)
-    # back before anyone saw it gone: its ghost stays alive in views until the new life's news comes
+    # back before anyone missed it: its past instance stays alive in views until the new one's update arrives
     until(lambda: all(fleet.members(i)["m6"][1] > before for i in range(8)), AGREE_S)
     fleet.wait_agreed(AGREE_S, IDS9 - {"m8"})
     down["m6"] = [(began, time.time())]
     check_logs(fleet, IDS9 - {"m8"}, down)
 
 
-def test_a_partition_heals_and_a_one_way_cut_is_no_death(rig):
-    """Case 3: 5 | 4 for 20 s, then healed without a restart; then A hears B, but B not A."""
+def test_a_partition_heals_and_a_one_way_cut_makes_no_member_dead(rig):
+    """Case 3: 5 | 4 for 20 s, then healed without a restart; then m0 receives from m1, but m1 not from m0."""
     fleet = rig(9)
     fleet.start_all()
     for i in range(9):
@@ -128,7 +128,7 @@
     assert took < AGREE_S
 
 
-def test_loss_and_jitter_bring_no_false_death(rig):
+def test_loss_and_jitter_make_no_member_dead(rig):
     """Case 4: 20 % of datagrams lost and 200 ms of jitter throughout, with the default probe period."""
     fleet = rig(9, fleet=dict(FAST, period_ms=1000.0, probe_timeout_ms=500.0, gossip_ms=200.0))
     fleet.start_all()
@@ -138,14 +138,14 @@
     fleet.fault("loss 0.2", "delay 0 200")
     time.sleep(30)
     fleet.fault("clear")
-    fleet.wait_agreed(AGREE_S, IDS9)  # what the loss left suspect is refuted or cleared
+    fleet.wait_agreed(AGREE_S, IDS9)  # members left suspect by the loss refute or are cleared
     check_logs(fleet, IDS9)
     counts = [dict(line.split("=") for line in fleet_counters(fleet, i)) for i in range(9)]
     refuted = sum(int(c.get("fleet.suspicions_refuted", 0)) for c in counts)
-    assert refuted > 0, "the loss made suspicions, and each was refuted in time"
+    assert refuted > 0, "the loss caused suspicions, and each was refuted in time"
 
 
-def test_a_starved_member_accuses_nobody(rig):
+def test_a_starved_member_suspects_nobody(rig):
     """Case 5: m0 gets the CPU 50 ms in each 300 (SIGSTOP and SIGCONT) for 12 s: Lifeguard's local health."""
     fleet = rig(7)
     fleet.start_all()
@@ -176,7 +176,7 @@
 
 
 def garbage(rng, real):
-    """One datagram of the kinds that must be dropped or passed over, and its kind."""
+    """One datagram that must be dropped or ignored."""
     kind = rng.choice(["random", "cut", "replayed", "oversized", "version", "cluster", "ack"])
     if kind == "random":
         return rng.randbytes(rng.randint(0, 1400))
@@ -194,7 +194,7 @@
 
 
 def test_garbage_at_the_gossip_port_is_counted_and_dropped(rig):
-    """Case 6: 40,000 datagrams of garbage, cut, replayed, oversized and foreign ones, as fast as they go."""
+    """Case 6: 40,000 datagrams at full speed: random, truncated, replayed, oversized and foreign ones."""
     fleet = rig(5, faultline=False)
     fleet.start_all()
     for i in range(5):
@@ -212,7 +212,7 @@
         for n in range(40_000):
             sock.sendto(garbage(rng, real), target)
             if n % 500 == 0:
-                time.sleep(0.01)  # the socket's buffer would drop the rest before the member sees it
+                time.sleep(0.01)  # otherwise the socket's buffer drops the rest before the member reads it
     fleet.wait_agreed(AGREE_S, ids)
     counts = dict(line.split("=") for line in fleet_counters(fleet, 0))
     for reason in ("malformed", "oversized", "version", "cluster"):
@@ -233,17 +233,17 @@
         tables = {"registry": {"endpoints": [address]}, "registration": {"ttl_s": 5}}
         fleet = rig(3, faultline=False, fleet=dict(FAST, seeds_from_registry=True), seeds=(), tables=tables)
         fleet.start(0)
-        fleet.ready(0)  # it found nobody, and is found
+        fleet.ready(0)  # the first member: it finds no other, and is found by the next
         fleet.start_all(range(1, 3))
         for i in range(3):
             fleet.ready(i)
         fleet.wait_agreed(AGREE_S, {"m0", "m1", "m2"})
         fleet.terminate(2)
-        until(lambda: fleet.members(0)["m2"][0] == "left", AGREE_S)  # it said that it leaves: not failed
+        until(lambda: fleet.members(0)["m2"][0] == "left", AGREE_S)  # it announced that it leaves: not failed
 
 
 def test_off_where_peers_may_not_talk(rig):
-    """The platform's settings forbid peer messages: [fleet] is asked for, and nothing listens."""
+    """The platform's settings forbid peer messages: [fleet] is enabled, but nothing listens."""
     settings = dict(SETTINGS, limits=dict(SETTINGS["limits"], peerMessages=False))
     fleet = rig(2, faultline=False, settings=settings)
     fleet.start(0)
--- a/tests/fleet/test_overload.py
+++ b/tests/fleet/test_overload.py
@@ -1,4 +1,4 @@
-"""Real schedulers in a crowd: issue 23's hard cases 1, 3, 4 and 6, before workers with a capacity."""
+"""Real schedulers under overload: cases 1, 3, 4 and 6 of issue 23, with workers of limited capacity."""
 
 import subprocess
 import sys
@@ -14,12 +14,12 @@
 from molespur.standins.fleet_load import Clients, FleetWorker
 from molespur.standins.members import ask
 
-# so slow that the crowd's figures are the fleet's, and not those of a machine that has much else to do
+# slow jobs, so that the results are those of the fleet and not of a busy machine
 SLOTS, WORK_MS, N = 2, 400.0, 6
 CAPACITY = N * SLOTS * 1000 / WORK_MS  # 30 jobs a second
 AIM_MS, DEADLINE_MS = 2000.0, 6000.0
 GOOD_MS = 1.2 * AIM_MS
-MIX = (("lookup", 0.8), ("assessment", 0.2))  # at three times the capacity the higher class is 0.6 of it
+MIX = (("lookup", 0.8), ("assessment", 0.2))  # at three times the capacity the higher class takes 0.6 of it
 SITE = {
     "profiles": [
         {"name": "lookup", "aim": AIM_MS, "deadline": DEADLINE_MS, "effect": "retryable", "worth": 1.0},
@@ -35,7 +35,7 @@
 
 
 def offer(rig, times, seconds, look=lambda: None):
-    """Offer so many times the capacity, looking twice a second; what became of the jobs due then."""
+    """Offer a multiple of the capacity, calling `look` twice a second; the ended jobs that were due then."""
     rig.rates(times * CAPACITY / N)
     begin = end = rig.load.now()
     while end < begin + seconds:
@@ -51,12 +51,12 @@
 
 
 def fleets_time(rig):
-    """The processor time of the schedulers, and of this process with its clients and workers."""
+    """The processor time of the schedulers and of this process, which runs the clients and workers."""
     return processor_time(program.pid for program in rig.fleet.programs.values())
 
 
 def counters(rig):
-    """Attempts of the fleet so far, and when that was (s)."""
+    """Attempts of the fleet so far, and the time of the reading (s)."""
     found = Counter(at=time.monotonic())
     for i in range(N):
         lines = [line.split("=") for line in ask(rig.fleet.ops(i), "fleet counters") if line != "eof"]
@@ -64,8 +64,8 @@
     return found
 
 
-def retries_most(spent):
-    """What the fleet may have retried: its share, the least of 2 a second, and what stood to its credit."""
+def max_retries(spent):
+    """The most that the fleet may have retried: its ratio, the floor of 2 a second, and its saved rights."""
     return 0.1 * spent["fleet.firsts"] + 2.0 * spent["at"] + 0.2 * CAPACITY
 
 
@@ -75,8 +75,8 @@
 
 
 @pytest.mark.parametrize("patient", [False, True])
-def test_a_crowd_of_three_times_the_capacity_comes_and_goes(tmp_path, patient):
-    """Cases 1, 4 and 6; the clients come back at once, or after Retry-After."""
+def test_a_surge_of_three_times_the_capacity(tmp_path, patient):
+    """Cases 1, 4 and 6; the clients retry at once, or after Retry-After."""
     workers = [FleetWorker(f"w{i}", i, slots=SLOTS, work_ms=WORK_MS, queue=8) for i in range(N)]
     clients = Clients(MIX, int(DEADLINE_MS), 4, patient)
     with Rig(tmp_path, N, workers, 35 + patient, rules={}, more=SITE, clients=clients) as rig:
@@ -87,11 +87,15 @@
         done = offer(rig, 3.0, 9.0, lambda: seen.append([shed(rig, i).get("lookup", 0.0) for i in range(N)]))
         share = fleets_time(rig).share_since(begun)
         assert good(done) * 3.0 > scaled(0.65, share), ("of the capacity, in time", share)
-        assert good(done, "assessment") > 0.6 > 0.35 > good(done, "lookup"), "the lowest priority first"
-        # over the crowd: at one instant a new word may have reached some, or the pace may stand high
+        assert good(done, "assessment") > 0.6 > 0.35 > good(done, "lookup"), (
+            "the lowest priority is shed first"
+        )
+        # medians over the surge: at one instant a new decision may not have reached all, or the rate be high
         apart = [max(shares) - min(shares) for shares in seen]
-        assert median(min(shares) for shares in seen) > 0.3 and median(apart) < 0.1, "all turn away alike"
-        assert sum(one < 0.4 for one in apart) >= 0.8 * len(apart), "and nearly always"
+        assert median(min(shares) for shares in seen) > 0.3 and median(apart) < 0.1, (
+            "all schedulers shed alike"
+        )
+        assert sum(one < 0.4 for one in apart) >= 0.8 * len(apart), "nearly always"
         look = [sys.executable, "-m", "molespur", "fleet", "load", "--at", "{}:{}".format(*rig.fleet.ops(0))]
         shown = subprocess.run(look, cwd=rig.fleet.root, capture_output=True, text=True, timeout=30)
         assert shown.returncode == 0 and "of its jobs, by all" in shown.stdout and "watched" in shown.stdout
@@ -103,14 +107,14 @@
             rig.fleet.fault("heal")
         spent = counters(rig)
         spent.subtract(before)
-        assert spent["fleet.retries"] <= retries_most(spent)
+        assert spent["fleet.retries"] <= max_retries(spent)
         after = offer(rig, 0.6, 10.7)
         gone = [one for one in after if one.due > after[0].due + 4.7]
-        assert good(gone) > 0.9, "the crowd has gone"
+        assert good(gone) > 0.9, "service is normal again after the surge"
 
 
-def test_half_of_the_workers_lost_at_once_bring_no_storm(tmp_path):
-    """Case 3: retries within the budget, and the rest of the workers serve what they can."""
+def test_losing_half_of_the_workers_at_once_causes_no_retry_storm(tmp_path):
+    """Case 3: retries stay within the budget, and the remaining workers serve what they can."""
     workers = [FleetWorker(f"w{i}", i, slots=SLOTS, work_ms=WORK_MS, queue=8) for i in range(N)]
     clients = Clients(MIX, int(DEADLINE_MS), 4)
     with Rig(tmp_path, N, workers, 37, rules={}, more=SITE, clients=clients) as rig:
@@ -121,15 +125,17 @@
         done = offer(rig, 0.4, 8.0)
         spent = counters(rig)
         spent.subtract(before)
-        assert 0 < spent["fleet.retries"] <= retries_most(spent)
+        assert 0 < spent["fleet.retries"] <= max_retries(spent)
         late = [one for one in done if one.due > done[0].due + 4.0]
         assert good(late) > 0.7
         assert max(w.busiest(1.0)[0] for w in workers[3:]) < 2.5 * SLOTS * 1000 / WORK_MS
 
 
-def test_a_worker_that_restarts_cold_gets_no_more_than_it_bears_in_sum(tmp_path):
-    """Case 2: nine schedulers, four of them send; a worker dies and is back cold.  Four of nine static shares
-    would be 0.44 of what it bears."""
+def test_a_worker_that_restarts_cold_gets_at_most_its_bound_in_sum(tmp_path):
+    """Case 2: nine schedulers, four of them send; a worker dies and restarts cold.
+
+    Four of nine static shares would be 0.44 of its bound.
+    """
     workers = [FleetWorker(f"w{i}", i, slots=4, work_ms=cold_worker().work_ms) for i in range(3)]
     gone = workers[0]
     with Rig(tmp_path, 9, workers, 38, filed=True) as rig:
--- a/tests/fleet/test_settings.py
+++ b/tests/fleet/test_settings.py
@@ -1,4 +1,4 @@
-"""The deployment's [fleet] table: checked whole, the faulty key named; seeds from a list and a file."""
+"""The deployment's [fleet] and [shared] tables: errors name the faulty key; seeds from a list and a file."""
 
 import pytest
 
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("key", FAULTS)
-def test_a_faulty_key_is_named(key):
+def test_the_error_names_the_faulty_key(key):
     flags, text = FAULTS[key]
     with pytest.raises(ConfigError) as problem:
         d.read(None, {}, flags)
@@ -45,15 +45,15 @@
     assert (tuning.period_ms, tuning.probe_timeout_ms, tuning.stall_threshold_ms) == (1000.0, 500.0, 250.0)
 
 
-def test_shared_settings_make_the_share_and_its_mark():
+def test_shared_settings_make_the_sharing_config_and_its_fingerprint():
     given = {"shared.witnesses": "a,b,c", "shared.quorum": "5"}
     part = d.read(None, {}, given)[0].shared
-    share = part.share({"conn": BudgetKind(32.0, 3000.0, False, 1.0)}, SITE)
-    assert (share.witnesses, share.size, share.quorum, share.majority) == (("a", "b", "c"), 200, 5, 2)
-    assert (share.priorities, share.watchers) == ((0, 3), 0), "nothing is watched where there are no probes"
-    assert share.hold_ms == 4000.0 + 250.0 + 3000.0
-    assert share.fingerprint == part.share({"conn": BudgetKind(32.0, 3000.0, False, 1.0)}, SITE).fingerprint
-    assert share.fingerprint != part.share({"conn": BudgetKind(33.0, 3000.0, False, 1.0)}, SITE).fingerprint
+    config = part.share({"conn": BudgetKind(32.0, 3000.0, False, 1.0)}, SITE)
+    assert (config.witnesses, config.size, config.quorum, config.majority) == (("a", "b", "c"), 200, 5, 2)
+    assert (config.priorities, config.watchers) == ((0, 3), 0), "nothing is watched without probes"
+    assert config.hold_ms == 4000.0 + 250.0 + 3000.0
+    assert config.fingerprint == part.share({"conn": BudgetKind(32.0, 3000.0, False, 1.0)}, SITE).fingerprint
+    assert config.fingerprint != part.share({"conn": BudgetKind(33.0, 3000.0, False, 1.0)}, SITE).fingerprint
 
 
 def test_seeds_from_a_list_and_a_file(tmp_path):
--- a/tests/fleet/test_state.py
+++ b/tests/fleet/test_state.py
@@ -1,4 +1,4 @@
-"""Shared state: merge laws, the clock's order, tickets, loans and evidence by hand; budgets under faults."""
+"""Shared state: merge laws, clock order, unit tests of tickets, loans and evidence; budgets under faults."""
 
 import random
 
@@ -46,7 +46,7 @@
 
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(-50, 50), st.integers(0, 3)), max_size=40))
-def test_the_clock_only_goes_forward_and_refuses_the_far_future(steps):
+def test_clock_is_monotonic_and_refuses_stamps_far_ahead(steps):
     clock, physical, last = HybridClock("a", max_ahead_ms=10), 1000, Stamp(0, 0, "")
     for ours, jump, lag in steps:
         physical = max(0, physical + jump)
@@ -60,24 +60,26 @@
         last = clock.last
 
 
-def test_counts_go_on_after_a_restart_and_are_not_counted_twice():
+def test_counters_continue_after_a_restart_and_are_not_counted_twice():
     peer, first = FleetCounters("p", 1), FleetCounters("a", 100)
     first.add("sent", 7)
     first.add("open", 3)
     first.add("open", -2)
     peer.merge(first.rows["a"], 0.0)
-    again = FleetCounters("a", 50)  # its clock went back between its lives
+    again = FleetCounters("a", 50)  # its clock went back between its instances
     again.add("sent", 2)
     for _ in range(3):
         again.merge(peer.rows["a"], 10.0)
         peer.merge(again.rows["a"], 10.0)
     assert (again.total("sent"), peer.total("sent"), peer.total("open")) == (9, 9, 1)
     late = FleetCounters("a", 300)
-    assert not late.merge(peer.rows["a"], 100_000.0), "so late it is another process under our id"
+    assert not late.merge(peer.rows["a"], 100_000.0), (
+        "so late after the start it is another process with our id"
+    )
 
 
 @given(st.sets(st.integers(0, 40)), st.lists(st.sets(MEMBERS), max_size=6))
-def test_things_fall_to_members_alike_however_the_view_came_to_be(numbers, views):
+def test_assignment_depends_only_on_the_current_members(numbers, views):
     assert from_bitmap(to_bitmap(numbers)) == numbers
     assignment = Assignment("t/", 32)
     for view in views:
@@ -88,222 +90,227 @@
         assert assignment.owners == [(pick(f"t/{i}", view, 1) or [""])[0] for i in range(32)]
 
 
-# -- Tickets, by hand ------------------------------------------------------------------------------
+# -- Tickets ---------------------------------------------------------------------------------------
 
-THREE = SharingConfig(witnesses=("x", "y", "z"), size=4, tickets=8, kinds=COLD)
+CONFIG = SharingConfig(witnesses=("x", "y", "z"), size=4, tickets=8, kinds=COLD)
 
 
-def asking(member, instance, seq, *tickets):
-    return TicketRequest(seq, member, instance, THREE.fingerprint, to_bitmap(tickets))
+def ticket_request(member, instance, seq, *tickets):
+    return TicketRequest(seq, member, instance, CONFIG.fingerprint, to_bitmap(tickets))
 
 
-def test_a_witness_lends_a_ticket_to_one_life_until_its_time_and_grace_are_over():
-    witness = Witness("x", 8, THREE.hold_ms, 0.0)
+def test_witness_lends_a_ticket_to_one_instance_until_lease_and_grace_are_over():
+    witness = Witness("x", 8, CONFIG.hold_ms, 0.0)
 
-    def lends(now, *ask):
-        return from_bitmap(witness.handle_request(asking(*ask), now).tickets)
+    def lends(now, *request):
+        return from_bitmap(witness.handle_request(ticket_request(*request), now).tickets)
 
-    assert lends(1.0, "a", 1, 1, 0, 1) == set(), "just started: its earlier life may have lent them"
-    after = THREE.hold_ms
+    assert lends(1.0, "a", 1, 1, 0, 1) == set(), "just started: its earlier instance may have lent them"
+    after = CONFIG.hold_ms
     assert lends(after, "a", 1, 2, 0, 1, 99) == {0, 1}
     assert lends(after + 1, "b", 1, 1, 1, 2) == {2}
     assert lends(after + 1000, "a", 1, 3, 0) == {0}
-    assert witness.handle_request(asking("a", 1, 3, 0, 1), after + 1001) is None, (
-        "a double or late ask says nothing"
+    assert witness.handle_request(ticket_request("a", 1, 3, 0, 1), after + 1001) is None, (
+        "a duplicate or late request gets no reply"
+    )
+    assert lends(2 * after - 1, "a", 2, 1, 0, 1) == set(), (
+        "the next instance waits for the first one's tickets"
     )
-    assert lends(2 * after - 1, "a", 2, 1, 0, 1) == set(), "its own next life waits for what the first had"
     assert lends(2 * after, "b", 1, 2, 1, 2) == {1, 2}
-    assert THREE.hold_ms == THREE.lease_ms + THREE.margin_ms + 1000.0
+    assert CONFIG.hold_ms == CONFIG.lease_ms + CONFIG.margin_ms + 1000.0
 
 
-def test_a_holder_owns_by_majority_from_when_it_asked_and_takes_no_late_yes():
-    share, holder = THREE, Holder("a", 1, THREE)
-    witnesses = [Witness(w, 8, share.hold_ms, -1e6) for w in share.witnesses]
-    ask = holder.next_request({3, 4}, 100.0)
-    says = [witness.handle_request(ask, 150.0) for witness in witnesses]
-    holder.handle_reply(says[0])
+def test_holder_owns_by_majority_from_its_request_and_ignores_late_grants():
+    config, holder = CONFIG, Holder("a", 1, CONFIG)
+    witnesses = [Witness(w, 8, config.hold_ms, -1e6) for w in config.witnesses]
+    request = holder.next_request({3, 4}, 100.0)
+    replies = [witness.handle_request(request, 150.0) for witness in witnesses]
+    holder.handle_reply(replies[0])
     assert holder.owned(160.0) == []
-    holder.handle_reply(says[1])
-    assert holder.owned(160.0) == [100.0 + share.lease_ms] * 2
-    assert holder.owned(100.0 + share.lease_ms) == []
+    holder.handle_reply(replies[1])
+    assert holder.owned(160.0) == [100.0 + config.lease_ms] * 2
+    assert holder.owned(100.0 + config.lease_ms) == []
     holder.next_request({4}, 200.0)
-    assert len(holder.owned(201.0)) == 1, "what fell to another is let go"
-    again = Holder("a", 2, share)
+    assert len(holder.owned(201.0)) == 1, "a ticket assigned to another member is released"
+    again = Holder("a", 2, config)
     first = again.next_request({3}, 10_000.0)
-    says = [TicketReply(first.seq, w, 2, first.tickets) for w in share.witnesses]
+    replies = [TicketReply(first.seq, w, 2, first.tickets) for w in config.witnesses]
     again.next_request(set(), 10_100.0)
     again.next_request({3}, 10_200.0)
-    for say in says:
-        assert again.handle_reply(say)
-    assert again.owned(10_300.0) == [], "a yes from before it was let go tells nothing of now"
+    for reply in replies:
+        assert again.handle_reply(reply)
+    assert again.owned(10_300.0) == [], "a grant from before the release does not count"
     for seq, witness, instance in ((9, "x", 2), (3, "q", 2), (3, "x", 1)):
         assert not again.handle_reply(TicketReply(seq, witness, instance, first.tickets))
 
 
-# -- Loans, by hand --------------------------------------------------------------------------------
+# -- Loans -----------------------------------------------------------------------------------------
 
 
-def escrow(me="a", tickets=4, used=0.0, share=THREE):
+def make_escrow(me="a", tickets=4, used=0.0, config=CONFIG):
     from molespur.fleet.escrow import Escrow
 
-    return Escrow(me, 1, share, lambda now: [1e9] * tickets, lambda name, now: used, random.Random(1), -1e6)
+    return Escrow(me, 1, config, lambda now: [1e9] * tickets, lambda name, now: used, random.Random(1), -1e6)
 
 
-def wish(lack, seq=1, src="b", instance=1):
-    return LoanRequest(seq, src, instance, THREE.fingerprint, [Shortfall("cold/w", lack)])
+def loan_request(lack, seq=1, src="b", instance=1):
+    return LoanRequest(seq, src, instance, CONFIG.fingerprint, [Shortfall("cold/w", lack)])
 
 
-UNIT = THREE.ticket_amount(100.0)
+UNIT = CONFIG.ticket_amount(100.0)
 
 
 @pytest.mark.parametrize(
-    ("lender", "asks", "amounts"),
+    ("lender", "requests", "amounts"),
     [
-        ("idle", [wish(5.0)], [5.0]),
-        ("idle", [wish(500.0)], [4 * UNIT]),
-        ("idle", [wish(500.0), wish(500.0)], [4 * UNIT, None]),  # the same ask twice
-        ("idle", [wish(500.0, 2), wish(500.0, 1)], [4 * UNIT, None]),  # late
-        ("idle", [wish(500.0), wish(500.0, src="c")], [4 * UNIT, None]),  # it has lent all
-        ("busy", [wish(500.0)], [4 * UNIT - (1.25 * 20 - THREE.floor_amount(100.0))]),  # keeps what it spends
-        ("idle", [LoanRequest(1, "b", 1, THREE.fingerprint, [Shortfall("nothing/w", 1.0)])], [None]),
+        ("idle", [loan_request(5.0)], [5.0]),
+        ("idle", [loan_request(500.0)], [4 * UNIT]),
+        ("idle", [loan_request(500.0), loan_request(500.0)], [4 * UNIT, None]),  # the same request twice
+        ("idle", [loan_request(500.0, 2), loan_request(500.0, 1)], [4 * UNIT, None]),  # late
+        ("idle", [loan_request(500.0), loan_request(500.0, src="c")], [4 * UNIT, None]),  # it has lent all
+        # keeps what it spends
+        ("busy", [loan_request(500.0)], [4 * UNIT - (1.25 * 20 - CONFIG.floor_amount(100.0))]),
+        ("idle", [LoanRequest(1, "b", 1, CONFIG.fingerprint, [Shortfall("nothing/w", 1.0)])], [None]),
     ],
 )
-def test_what_is_lent(lender, asks, amounts):
-    escrow_ = escrow(used=20.0 if lender == "busy" else 0.0)
-    lends = [escrow_.handle_request(ask, 10.0) for ask in asks]
-    assert [lend and round(lend.loans[0].amount, 6) for lend in lends] == [a and round(a, 6) for a in amounts]
+def test_amounts_lent(lender, requests, amounts):
+    lender_escrow = make_escrow(used=20.0 if lender == "busy" else 0.0)
+    replies = [lender_escrow.handle_request(request, 10.0) for request in requests]
+    assert [reply and round(reply.loans[0].amount, 6) for reply in replies] == [
+        a and round(a, 6) for a in amounts
+    ]
 
 
-def test_a_lender_counts_a_loan_past_its_end_and_a_borrower_not_so_long():
-    lender, borrower = escrow(), escrow("b", tickets=0)
+def test_lender_counts_a_loan_longer_than_the_borrower():
+    lender, borrower = make_escrow(), make_escrow("b", tickets=0)
     before = lender.available("cold/w", 0.0)
     borrower.record_denial("cold/w", 0.0)
-    ((whom, ask),) = borrower.renew(0.0, ["a"])
+    ((whom, request),) = borrower.renew(0.0, ["a"])
     assert whom == "a"
-    lend = lender.handle_request(ask, 40.0)  # 40 ms later
-    assert borrower.handle_reply(lend, 80.0)
-    amount = lend.loans[0].amount
-    floor = THREE.floor_amount(100.0)
-    assert borrower.available("cold/w", THREE.loan_ms - 1) == floor + amount
-    assert borrower.available("cold/w", THREE.loan_ms) == floor, "from when it asked, by its own clock"
-    back = 40.0 + THREE.loan_ms + THREE.margin_ms + 1000.0
+    reply = lender.handle_request(request, 40.0)  # 40 ms later
+    assert borrower.handle_reply(reply, 80.0)
+    amount = reply.loans[0].amount
+    floor = CONFIG.floor_amount(100.0)
+    assert borrower.available("cold/w", CONFIG.loan_ms - 1) == floor + amount
+    assert borrower.available("cold/w", CONFIG.loan_ms) == floor, "from its request, by its own clock"
+    back = 40.0 + CONFIG.loan_ms + CONFIG.margin_ms + 1000.0
     assert lender.available("cold/w", back - 1) == before - amount
     assert lender.available("cold/w", back) == before
     for bad in (
-        LoanReply(ask.seq, "c", 1, lend.loans),  # not whom we asked
-        LoanReply(ask.seq, "a", 2, lend.loans),  # asked by another life of ours
-        LoanReply(99, "a", 1, lend.loans),
+        LoanReply(request.seq, "c", 1, reply.loans),  # not the member that we asked
+        LoanReply(request.seq, "a", 2, reply.loans),  # the request of another instance of ours
+        LoanReply(99, "a", 1, reply.loans),
     ):
         assert not borrower.handle_reply(bad, 90.0)
-    assert borrower.handle_reply(LoanReply(ask.seq, "a", 1, [Loan("cold/w", 1e6, 9e9)]), 90.0)
+    assert borrower.handle_reply(LoanReply(request.seq, "a", 1, [Loan("cold/w", 1e6, 9e9)]), 90.0)
     assert borrower.counts["loans_absurd"] == 1 and borrower.counts["loans_not_asked_for"] == 3
 
 
-def test_of_two_loans_of_a_lender_the_one_asked_for_last_stands():
-    borrower = escrow("b", tickets=0)
-    asks = []
+def test_of_two_loans_of_a_lender_the_one_requested_last_counts():
+    borrower = make_escrow("b", tickets=0)
+    requests = []
     for now in (0.0, 1000.0):
         borrower.record_denial("cold/w", now)
-        asks += borrower.renew(now, ["a"])
-    lends = [LoanReply(ask.seq, "a", 1, [Loan("cold/w", amount, THREE.loan_ms)])
-             for (_, ask), amount in zip(asks, (9.0, 4.0), strict=True)]  # fmt: skip
-    for lend in (*lends, lends[0]):
-        borrower.handle_reply(lend, 1100.0)
-    assert borrower.available("cold/w", 1200.0) == THREE.floor_amount(100.0) + 4.0
+        requests += borrower.renew(now, ["a"])
+    replies = [LoanReply(request.seq, "a", 1, [Loan("cold/w", amount, CONFIG.loan_ms)])
+             for (_, request), amount in zip(requests, (9.0, 4.0), strict=True)]  # fmt: skip
+    for reply in (*replies, replies[0]):
+        borrower.handle_reply(reply, 1100.0)
+    assert borrower.available("cold/w", 1200.0) == CONFIG.floor_amount(100.0) + 4.0
 
 
 # -- Budgets in a fleet, faults between its members --------------------------------------------------
 
 
-def fleet(n, hot=(), want=150.0, share=None, seed=1, run=12_000):
-    share = share or SharingConfig(witnesses=("m0", "m1", "m2"), size=n, kinds=COLD)
-    made = VirtualState(n, share, seed=seed)
-    made.demand = lambda i, now: {"cold/w": want if not hot or i in hot else 0.0}
+def fleet(n, busy=(), want=150.0, config=None, seed=1, run=12_000):
+    config = config or SharingConfig(witnesses=("m0", "m1", "m2"), size=n, kinds=COLD)
+    sim = VirtualState(n, config, seed=seed)
+    sim.demand = lambda i, now: {"cold/w": want if not busy or i in busy else 0.0}
     for i in range(n):
-        made.start(i, (0, 1))
-    made.run(run)
-    return made
+        sim.start(i, (0, 1))
+    sim.run(run)
+    return sim
 
 
-def rate(made, ms=4000):
-    before = made.passed["cold/w"]
-    made.run(made.now + ms)
-    return (made.passed["cold/w"] - before) * 1000 / ms
+def rate(sim, ms=4000):
+    before = sim.passed["cold/w"]
+    sim.run(sim.now + ms)
+    return (sim.passed["cold/w"] - before) * 1000 / ms
 
 
-def test_the_whole_bound_is_used_and_never_passed():
+def test_the_bound_is_used_fully_and_never_exceeded():
     even, one = fleet(9), fleet(9, {4})
     assert 97.0 < rate(even) <= 100.0 + 1e-6 and 90.0 < rate(one) < 100.1
     assert max(even.peak["cold/w"], one.peak["cold/w"]) <= 100.0 + 1e-6
 
 
-def test_a_cut_off_part_shrinks_to_its_floors_and_the_rest_takes_over():
-    made = fleet(9)
-    made.partition({0, 1, 2, 3, 4}, {5, 6, 7, 8})
-    made.run(made.now + 30_000)
-    floor = made.share.floor_amount(100.0)
-    assert all(made.shared[i].available("cold/w", made.clock(i)) == floor for i in range(5, 9))
-    assert 95.0 < rate(made) < 100.1
-    made.heal()
-    made.run(made.now + 30_000)
-    assert rate(made) > 99.0 and made.peak["cold/w"] <= 100.0 + 1e-6
-    assert all(made.shared[i].available("cold/w", made.clock(i)) > 3 * floor for i in range(9))
+def test_a_partitioned_minority_falls_to_its_floors_and_the_majority_takes_over():
+    sim = fleet(9)
+    sim.partition({0, 1, 2, 3, 4}, {5, 6, 7, 8})
+    sim.run(sim.now + 30_000)
+    floor = sim.share.floor_amount(100.0)
+    assert all(sim.shared[i].available("cold/w", sim.clock(i)) == floor for i in range(5, 9))
+    assert 95.0 < rate(sim) < 100.1
+    sim.heal()
+    sim.run(sim.now + 30_000)
+    assert rate(sim) > 99.0 and sim.peak["cold/w"] <= 100.0 + 1e-6
+    assert all(sim.shared[i].available("cold/w", sim.clock(i)) > 3 * floor for i in range(9))
 
 
-def test_rights_of_the_dead_come_back_after_their_time_and_a_restart_does_not_spend_them():
-    made = fleet(9, {8})
-    most = made.shared[8].available("cold/w", made.clock(8))
+def test_rights_of_a_dead_member_return_after_their_lease_and_a_restart_does_not_spend_them():
+    sim = fleet(9, {8})
+    most = sim.shared[8].available("cold/w", sim.clock(8))
     assert most > 85.0
-    made.demand = lambda i, now: {"cold/w": 150.0}
-    made.kill(8)
-    at = made.now
-    made.run(at + made.share.loan_ms - made.share.renew_ms)
-    now = [x.available("cold/w", made.now) for x in made.shared[:8]]
-    assert sum(now) < 20.0, "not before the loans' time is over"
-    made.start(8)
-    assert made.shared[8].available("cold/w", made.clock(8)) == 0.0, "not even its floor, within a window"
-    made.run(at + made.share.loan_ms + made.share.margin_ms + 2 * 1000.0 + 500.0)
-    assert sum(x.available("cold/w", made.now) for x in made.shared[:8]) > 80.0
-    assert made.peak["cold/w"] <= 100.0 + 1e-6
-
-
-def test_a_member_paused_past_its_leases_spends_nothing_on_them():
-    made = fleet(9, {3})
-    made.pause(3)
-    made.run(made.now + 15_000)
-    assert made.shared[3].available("cold/w", made.clock(3)) == made.share.floor_amount(100.0)
-    made.resume(3)
-    made.run(made.now + 15_000)
-    assert made.peak["cold/w"] <= 100.0 + 1e-6 and rate(made) > 90.0
-
-
-def test_join_of_twenty_and_departure_of_half_split_anew_without_overspend():
-    made = VirtualState(29, SharingConfig(witnesses=("m0", "m1", "m2"), size=29, kinds=COLD), seed=5)
-    made.demand = lambda i, now: {"cold/w": 50.0}
+    sim.demand = lambda i, now: {"cold/w": 150.0}
+    sim.kill(8)
+    at = sim.now
+    sim.run(at + sim.share.loan_ms - sim.share.renew_ms)
+    now = [x.available("cold/w", sim.now) for x in sim.shared[:8]]
+    assert sum(now) < 20.0, "not before the loans have expired"
+    sim.start(8)
+    assert sim.shared[8].available("cold/w", sim.clock(8)) == 0.0, "not even its floor, within a window"
+    sim.run(at + sim.share.loan_ms + sim.share.margin_ms + 2 * 1000.0 + 500.0)
+    assert sum(x.available("cold/w", sim.now) for x in sim.shared[:8]) > 80.0
+    assert sim.peak["cold/w"] <= 100.0 + 1e-6
+
+
+def test_a_member_paused_past_its_leases_keeps_only_its_floor():
+    sim = fleet(9, {3})
+    sim.pause(3)
+    sim.run(sim.now + 15_000)
+    assert sim.shared[3].available("cold/w", sim.clock(3)) == sim.share.floor_amount(100.0)
+    sim.resume(3)
+    sim.run(sim.now + 15_000)
+    assert sim.peak["cold/w"] <= 100.0 + 1e-6 and rate(sim) > 90.0
+
+
+def test_twenty_joins_and_the_loss_of_half_redistribute_without_overspend():
+    sim = VirtualState(29, SharingConfig(witnesses=("m0", "m1", "m2"), size=29, kinds=COLD), seed=5)
+    sim.demand = lambda i, now: {"cold/w": 50.0}
     for i in range(9):
-        made.start(i, (0, 1))
-    made.run(15_000)
-    assert rate(made) > 95.0
+        sim.start(i, (0, 1))
+    sim.run(15_000)
+    assert rate(sim) > 95.0
     for i in range(9, 29):
-        made.start(i, (0, 1))
-    worst = min(rate(made, 1000) for _ in range(40))
-    assert worst > 60.0, "the rest works on while some tickets change hands"
-    own = [made.shared[i].available("cold/w", made.clock(i)) for i in range(29)]
-    assert max(own) < 9.0 and rate(made) > 95.0
+        sim.start(i, (0, 1))
+    worst = min(rate(sim, 1000) for _ in range(40))
+    assert worst > 60.0, "the other tickets stay in use while some change hands"
+    own = [sim.shared[i].available("cold/w", sim.clock(i)) for i in range(29)]
+    assert max(own) < 9.0 and rate(sim) > 95.0
     for i in range(15, 29):
-        made.kill(i)
-    made.run(made.now + 25_000)
-    assert rate(made) > 95.0 and made.peak["cold/w"] <= 100.0 + 1e-6
+        sim.kill(i)
+    sim.run(sim.now + 25_000)
+    assert rate(sim) > 95.0 and sim.peak["cold/w"] <= 100.0 + 1e-6
 
 
 class Budget(RuleBasedStateMachine):
-    """Members spend one budget while messages are lost, late and doubled; members die, pause, are cut off."""
+    """Members spend one budget under lost, late and duplicate messages, crashes, pauses and partitions."""
 
     @initialize(n=st.integers(3, 6), seed=st.integers(0, 999))
     def begin(self, n, seed):
         rng = random.Random(seed)
-        share = SharingConfig(witnesses=("m0", "m1", "m2"), size=n, tickets=16, kinds=COLD)
-        self.n, self.fleet = n, VirtualState(n, share, seed=seed)
+        config = SharingConfig(witnesses=("m0", "m1", "m2"), size=n, tickets=16, kinds=COLD)
+        self.n, self.fleet = n, VirtualState(n, config, seed=seed)
         self.want = [rng.choice([0.0, 20.0, 150.0]) for _ in range(n)]
         self.fleet.demand = lambda i, now: {"cold/w": self.want[i]}
         self.fleet.rate = [1.0 + rng.uniform(-0.01, 0.01) for _ in range(n)]
@@ -359,10 +366,10 @@
 
     @invariant()
     def never_above_the_bound(self):
-        made = self.fleet
-        rights = sum(x.available("cold/w", made.clock(i)) for i, x in enumerate(made.shared) if x is not None)
+        sim = self.fleet
+        rights = sum(x.available("cold/w", sim.clock(i)) for i, x in enumerate(sim.shared) if x is not None)
         assert rights <= 100.0 + 1e-6, rights
-        assert made.peak.get("cold/w", 0.0) <= 100.0 + 1e-6, made.peak
+        assert sim.peak.get("cold/w", 0.0) <= 100.0 + 1e-6, sim.peak
 
 
 Budget.TestCase.settings = settings(
@@ -370,35 +377,35 @@
     stateful_step_count=30,
     deadline=None,
     suppress_health_check=list(HealthCheck),
-    phases=[Phase.explicit, Phase.reuse, Phase.generate],  # to shrink a failure takes minutes
+    phases=[Phase.explicit, Phase.reuse, Phase.generate],  # without shrinking, which takes minutes
 )
-test_the_sum_of_rights_and_what_is_spent_never_pass_the_bound = Budget.TestCase
+test_the_sum_of_rights_and_the_spending_never_exceed_the_bound = Budget.TestCase
 
 
 # -- Evidence and judgements -------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
-    ("told", "bad"),
+    ("reports", "bad"),
     [
-        ([(500, 400)], False),  # one scheduler's bad path, however loud
-        ([(3, 3), (3, 3), (3, 3)], True),  # three that met it thrice each
+        ([(500, 400)], False),  # one scheduler's bad path, however many requests
+        ([(3, 3), (3, 3), (3, 3)], True),  # three members with three failures each
         ([(2, 2), (1, 1), (3, 3)], True),
-        ([(1, 1), (1, 1), (1, 1)], False),  # too little in all
-        ([(30, 20), (30, 20)], True),  # two, but much
-        ([(9, 9)] * 3 + [(9, 0)] * 4, False),  # the larger part is served
+        ([(1, 1), (1, 1), (1, 1)], False),  # too few failures in total
+        ([(30, 20), (30, 20)], True),  # two members, but many failures
+        ([(9, 9)] * 3 + [(9, 0)] * 4, False),  # the larger part of the members is served
         ([(9, 9)] * 4 + [(9, 1)] * 3, True),
-        ([(9, 2)] * 9, False),  # some failures everywhere
+        ([(9, 2)] * 9, False),  # some failures at all members
         ([], False),
     ],
 )
-def test_verdicts(told, bad):
+def test_verdicts(reports, bad):
     evidence = Evidence(SharingConfig(size=20))
-    for i, (sent, failed) in enumerate(told):
+    for i, (sent, failed) in enumerate(reports):
         assert evidence.record(f"m{i}", (1, 1), RequestCounts("w", sent, failed), 0.0) == ""
     assert evidence.verdict("w").bad is bad
     evidence.expire(10_000.0)
-    assert not evidence.verdict("w").bad and not evidence.reports, "it ages out"
+    assert not evidence.verdict("w").bad and not evidence.reports, "evidence expires"
 
 
 @given(st.lists(st.tuples(MEMBERS, st.integers(1, 5), st.integers(0, 9)), max_size=30), st.randoms())
@@ -408,15 +415,15 @@
     items = [(member, order, RequestCounts("w", 9, failed)) for (member, order), failed in once.items()]
     shuffled = items * 2
     rng.shuffle(shuffled)
-    for store, line in ((a, items), (b, shuffled)):
-        for member, order, seen in line:
-            store.record(member, (1, order), seen, 0.0)
+    for store, reports in ((a, items), (b, shuffled)):
+        for member, order, counts in reports:
+            store.record(member, (1, order), counts, 0.0)
     assert a.reports == b.reports
 
 
 def test_evidence_is_refused_by_reason_and_bounded():
-    share = SharingConfig(size=4, max_workers=10)
-    store, window = Evidence(share), RequestWindow(share)
+    config = SharingConfig(size=4, max_workers=10)
+    store, window = Evidence(config), RequestWindow(config)
     assert store.record("a", (1, 1), RequestCounts("w", 1, 5), 0.0) == "absurd"
     for n in range(50):
         store.record(f"m{n}", (1, 1), RequestCounts("w", 1, 1), 0.0)
@@ -426,66 +433,66 @@
     assert store.record("m0", (1, 1), RequestCounts("w", 1, 1), 0.0) == "old"
 
 
-def test_judgements_end_with_their_age_and_clocks_that_are_off_do_no_harm():
+def test_judgements_expire_by_age_whatever_the_clocks_show():
     ours, theirs = Judgements("a", 10_000.0), Judgements("b", 10_000.0)
-    said = theirs.write("w", BAD, 0.0, 11_000.0)  # b's clock is 10 s ahead
-    assert ours.merge(said, 0.0, 1_000.0) == "from_the_future" and not ours.keys_with(BAD, 0.0)
+    update = theirs.write("w", BAD, 0.0, 11_000.0)  # b's clock is 10 s ahead
+    assert ours.merge(update, 0.0, 1_000.0) == "from_the_future" and not ours.keys_with(BAD, 0.0)
     theirs = Judgements("b", 10_000.0)
     for peer in "cde":
-        theirs.record_clock_offset(peer, -10_000.0)  # it hears that the others' clocks are behind its own
+        theirs.record_clock_offset(peer, -10_000.0)  # it learns that the others' clocks are behind its own
     assert ours.merge(theirs.write("w", BAD, 0.0, 11_000.0), 0.0, 1_000.0) == ""
-    told = ours.get("w", 4_000.0)
+    update = ours.get("w", 4_000.0)
     late = Judgements("c", 10_000.0)
-    assert told.age_ms == 4_000.0 and late.merge(told, 500.0, 5_000.0) == ""
+    assert update.age_ms == 4_000.0 and late.merge(update, 500.0, 5_000.0) == ""
     assert late.keys_with(BAD, 6_499.0) == {"w"} and not late.keys_with(BAD, 6_500.0)
     assert ours.expire(10_000.0) == ["w"] and late.get("w", 7_000.0) is None
-    assert ours.merge(told.__class__("w", told.stamp, BAD, 10_000.0), 10_001.0, 11_000.0) == "over"
+    assert ours.merge(update.__class__("w", update.stamp, BAD, 10_000.0), 10_001.0, 11_000.0) == "over"
 
 
-def judged(made):
-    return [(at, i, a) for at, i, a in made.notes if isinstance(a, shared.WorkerJudgedBad)]
+def judged_bad(sim):
+    return [(at, i, a) for at, i, a in sim.notes if isinstance(a, shared.WorkerJudgedBad)]
 
 
 @pytest.mark.parametrize("off", [0.0, 10_000.0])
-def test_a_bad_worker_is_judged_by_few_failures_and_a_bad_path_is_not(off):
-    """Nine members, each meeting each worker about once a second; one member's path to w1 is broken."""
-    made = fleet(9, seed=3)
-    made.unix_off[4] = off  # one member's clock is ahead
-    rng, met = random.Random(7), {"w0": 0, "w1": 0}
-    began = made.now
-    while made.now < began + 20_000 and not made.shared[0].bad_workers(made.clock(0)):
-        made.run(made.now + 100)
+def test_a_bad_worker_is_judged_after_few_failures_and_a_bad_path_is_not(off):
+    """Nine members, each sending to each worker about once a second; one member's path to w1 is broken."""
+    sim = fleet(9, seed=3)
+    sim.unix_off[4] = off  # one member's clock is ahead
+    rng, sent = random.Random(7), {"w0": 0, "w1": 0}
+    began = sim.now
+    while sim.now < began + 20_000 and not sim.shared[0].bad_workers(sim.clock(0)):
+        sim.run(sim.now + 100)
         for i in range(9):
             if rng.random() < 0.2:
                 worker = rng.choice(["w0", "w1", "w2"])
                 failed = worker == "w0" or (worker == "w1" and i == 5)
-                met[worker] = met.get(worker, 0) + 1
-                made.tell(i, shared.RequestEnded(worker, failed))
-    made.run(made.now + 1_500)
-    assert all(x.bad_workers(made.clock(i)) == {"w0"} for i, x in enumerate(made.shared))
-    assert met["w0"] < 30, "where each of nine alone would need three of its own"
-    assert {a.worker for _, _, a in judged(made)} == {"w0"}
-    made.run(made.now + 12_000)
-    assert not any(x.bad_workers(made.clock(i)) for i, x in enumerate(made.shared)), "it ages out"
-    assert any(isinstance(a, shared.JudgementExpired) for _, _, a in made.notes)
-
-
-def test_counts_reach_all_and_memory_and_datagrams_stay_bounded():
-    made = fleet(9)
-    for i, one in enumerate(made.shared):
+                sent[worker] = sent.get(worker, 0) + 1
+                sim.tell(i, shared.RequestEnded(worker, failed))
+    sim.run(sim.now + 1_500)
+    assert all(x.bad_workers(sim.clock(i)) == {"w0"} for i, x in enumerate(sim.shared))
+    assert sent["w0"] < 30, "nine members alone would need three failures each"
+    assert {a.worker for _, _, a in judged_bad(sim)} == {"w0"}
+    sim.run(sim.now + 12_000)
+    assert not any(x.bad_workers(sim.clock(i)) for i, x in enumerate(sim.shared)), "the judgement expires"
+    assert any(isinstance(a, shared.JudgementExpired) for _, _, a in sim.notes)
+
+
+def test_counters_reach_all_members_and_memory_stays_bounded():
+    sim = fleet(9)
+    for i, one in enumerate(sim.shared):
         one.totals.add("sent", i)
         for n in range(100):
             one.totals.add(f"c{n}")
-            made.tell(i, shared.RequestEnded(f"x{n}", True))
-    made.run(made.now + 40_000)
-    assert [one.totals.total("sent") for one in made.shared] == [36] * 9
-    assert all(len(one.totals.names()) == 32 for one in made.shared)
-    assert all(not one._queue or len(one._queue) < 200 for one in made.shared)
+            sim.tell(i, shared.RequestEnded(f"x{n}", True))
+    sim.run(sim.now + 40_000)
+    assert [one.totals.total("sent") for one in sim.shared] == [36] * 9
+    assert all(len(one.totals.names()) == 32 for one in sim.shared)
+    assert all(not one._queue or len(one._queue) < 200 for one in sim.shared)
 
 
-def test_shared_messages_survive_the_wire_and_foreign_ones_are_refused():
-    ask = asking("a", 1, 1, 0, 7)
-    assert wire.decode(wire.encode("c", ask), "c", 1400) == (ask, "")
+def test_messages_are_decoded_as_encoded_and_invalid_ones_refused():
+    request = ticket_request("a", 1, 1, 0, 7)
+    assert wire.decode(wire.encode("c", request), "c", 1400) == (request, "")
     assert wire.decode(wire.encode("c", Shortfall("x" * 97, 1.0)), "c", 1400)[1] == "malformed"
     many = LoanRequest(1, "a", 1, 1, [Shortfall("cold/w", 1.0)] * 65)
     assert wire.decode(wire.encode("c", many), "c", 4000)[1] == "malformed"
--- a/tests/fleet/test_swim.py
+++ b/tests/fleet/test_swim.py
@@ -1,4 +1,4 @@
-"""The fleet view's pure parts: one machine by hand, many in virtual time under random faults, the wire."""
+"""The fleet view's pure parts: one member, many in virtual time under random faults, and the wire format."""
 
 import copy
 import random
@@ -22,8 +22,8 @@
     return m
 
 
-def told(m, now, *news, kind=Gossip):
-    return m.handle(now, swim.Received(kind("x", list(news))))
+def receive(m, now, *updates, kind=Gossip):
+    return m.handle(now, swim.Received(kind("x", list(updates))))
 
 
 def sent(actions):
@@ -31,96 +31,96 @@
     return [wire.decode(a.data, "c", 1400)[0] for a in actions if isinstance(a, swim.Send)]
 
 
-def news(member="b", incarnation=5, state=State.ALIVE, by="x", address=OTHER):
+def update(member="b", incarnation=5, state=State.ALIVE, by="x", address=OTHER):
     return MemberUpdate(member, *address, incarnation, state, by)
 
 
-# -- One machine, by hand: (what it is told, what must follow) ------------------------------------
+# -- One machine: (the updates received, what must follow) ----------------------------------------
 
 CASES = {
-    "a suspicion of our own incarnation is refuted above it": (
-        [news("a", 1000, State.SUSPECT, address=ME)],
+    "a suspicion of our own incarnation is refuted with a higher one": (
+        [update("a", 1000, State.SUSPECT, address=ME)],
         lambda m, out: m.incarnation == 1001 and any(isinstance(a, swim.Refuted) for a in out),
     ),
     "being declared dead is refuted too": (
-        [news("a", 1000, State.DEAD, address=ME)],
+        [update("a", 1000, State.DEAD, address=ME)],
         lambda m, out: m.incarnation == 1001 and m.counts["refutations"] == 1,
     ),
-    "news of a past life of ours is passed over": (
-        [news("a", 10, State.DEAD, address=ME)],
+    "an update about a past instance of ours is ignored": (
+        [update("a", 10, State.DEAD, address=ME)],
         lambda m, out: m.incarnation == 1000 and not out,
     ),
-    "a ghost's lower incarnation does not bring it back": (
-        [news(incarnation=5), news(incarnation=5, state=State.DEAD), news(incarnation=4)],
+    "an update with a lower incarnation does not revive a dead member": (
+        [update(incarnation=5), update(incarnation=5, state=State.DEAD), update(incarnation=4)],
         lambda m, out: m.members["b"].state is State.DEAD,
     ),
-    "a restart under a higher incarnation does": (
-        [news(incarnation=5), news(incarnation=5, state=State.DEAD), news(incarnation=9)],
+    "a restart with a higher incarnation revives it": (
+        [update(incarnation=5), update(incarnation=5, state=State.DEAD), update(incarnation=9)],
         lambda m, out: m.members["b"].state is State.ALIVE and m.members["b"].incarnation == 9,
     ),
     "alive at the same incarnation does not lift a suspicion": (
-        [news(), news(state=State.SUSPECT), news()],
+        [update(), update(state=State.SUSPECT), update()],
         lambda m, out: m.members["b"].state is State.SUSPECT,
     ),
     "a member that left is not counted as failed": (
-        [news(), news(state=State.LEFT)],
+        [update(), update(state=State.LEFT)],
         lambda m, out: m.members["b"].state is State.LEFT and m.counts["declared_dead"] == 0,
     ),
     "a left member is not made failed afterwards": (
-        [news(), news(state=State.LEFT), news(state=State.DEAD)],
+        [update(), update(state=State.LEFT), update(state=State.DEAD)],
         lambda m, out: m.members["b"].state is State.LEFT,
     ),
     "a second process under a live id is a conflict, and the first stays": (
-        [news(), news(incarnation=6, address=("10.0.0.9", 7946))],
+        [update(), update(incarnation=6, address=("10.0.0.9", 7946))],
         lambda m, out: m.members["b"].address == OTHER and any(isinstance(a, swim.Conflict) for a in out),
     ),
     "another process claiming our own id is a conflict, and we refute": (
-        [news("a", 1000, address=("10.0.0.9", 7946))],
+        [update("a", 1000, address=("10.0.0.9", 7946))],
         lambda m, out: m.incarnation == 1001 and m.counts["conflicts"] == 1,
     ),
-    "a dead member's new life at a new address is taken": (
-        [news(), news(state=State.DEAD), news(incarnation=7, address=("10.0.0.9", 7946))],
+    "a dead member's new instance at a new address is accepted": (
+        [update(), update(state=State.DEAD), update(incarnation=7, address=("10.0.0.9", 7946))],
         lambda m, out: m.members["b"].address == ("10.0.0.9", 7946),
     ),
 }
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_one_machine(case):
+def test_updates(case):
     steps, holds = CASES[case]
     m, out = machine(), []
     for step in steps:
-        out = told(m, 10.0, step)
+        out = receive(m, 10.0, step)
     assert holds(m, out)
 
 
 def test_a_ping_to_a_suspect_carries_the_suspicion():
-    """Lifeguard's buddy system: the suspect hears of it from the one that probes it, and can refute."""
+    """Lifeguard's buddy system: the suspect learns of the suspicion from its prober, and can refute."""
     m = machine(Tuning(period_ms=100, probe_timeout_ms=50))
-    told(m, 1.0, news(), news(state=State.SUSPECT))
+    receive(m, 1.0, update(), update(state=State.SUSPECT))
     pings = [
         p for t in range(0, 400, 10) for p in sent(m.handle(float(t), swim.Tick())) if isinstance(p, Ping)
     ]
     assert pings and pings[0].updates[0].member == "b" and pings[0].updates[0].state is State.SUSPECT
 
 
-def test_a_held_member_reads_before_it_judges_and_waits_longer():
-    """Lifeguard's local health: a gap between calls puts the timeouts off, and stretches the next ones."""
+def test_a_stalled_member_reads_pending_acks_before_its_timeouts_expire():
+    """Lifeguard's local health: a gap between calls postpones the timeouts and stretches the next ones."""
     m = machine(Tuning(period_ms=100, probe_timeout_ms=50, stall_threshold_ms=80))
-    told(m, 1.0, news())
+    receive(m, 1.0, update())
     for t in range(0, 200, 10):
         out = sent(m.handle(float(t), swim.Tick()))
         if any(isinstance(p, Ping) for p in out):
             ping = next(p for p in out if isinstance(p, Ping))
             break
-    m.handle(t + 5000.0, swim.Received(Ack(ping.seq, "b")))  # the ack waited while we were stopped
+    m.handle(t + 5000.0, swim.Received(Ack(ping.seq, "b")))  # the ack arrived while we were stopped
     m.handle(t + 5001.0, swim.Tick())
     assert m.members["b"].state is State.ALIVE and m.counts["probes_failed"] == 0 and m.counts["held"] == 1
 
 
-def test_a_member_that_never_answers_is_suspected_then_dead():
+def test_a_member_that_never_replies_is_suspected_then_dead():
     m = machine(Tuning(period_ms=100, probe_timeout_ms=50))
-    told(m, 1.0, news(), news("c", address=("10.0.0.3", 7946)))
+    receive(m, 1.0, update(), update("c", address=("10.0.0.3", 7946)))
     states = []
     for t in range(0, 30_000, 10):
         for action in m.handle(float(t), swim.Tick()):
@@ -132,21 +132,21 @@
 def test_the_table_is_bounded():
     m = machine(Tuning(most_members=50))
     for i in range(400):
-        told(m, float(i), news(f"n{i}", 1, address=("10.1.0.1", i + 1)))
+        receive(m, float(i), update(f"n{i}", 1, address=("10.1.0.1", i + 1)))
     assert len(m.members) == 50 and m.counts["table_full"] == 350
 
 
 def test_tombstones_age_out():
     m = machine(Tuning(tombstone_ms=1000))
-    told(m, 1.0, news(), news(state=State.DEAD))
+    receive(m, 1.0, update(), update(state=State.DEAD))
     for t in range(0, 3000, 50):
         m.handle(float(t), swim.Tick())
     assert "b" not in m.members and m.counts["tombstones_dropped"] == 1
 
 
-def test_news_is_sent_a_bounded_number_of_times():
+def test_an_update_is_sent_a_bounded_number_of_times():
     m = machine()
-    told(m, 1.0, news())
+    receive(m, 1.0, update())
     count = sum(len(m._take_updates()) for _ in range(50))
     assert count == Tuning().retransmits(2)
 
@@ -156,7 +156,7 @@
 
 @given(st.binary(max_size=3000))
 @settings(max_examples=500)
-def test_no_bytes_make_it_raise(data):
+def test_decoding_never_raises(data):
     message, why = wire.decode(data, "c", 1400)
     assert (message is None) == (why in wire.REASONS)
     assert wire.decode_exchange(data, "c")[1] in ("", *wire.REASONS)
@@ -173,14 +173,14 @@
         (wire.encode("c", Ping(1, "a" * 65, "h", 1, "b")), "malformed"),
     ],
 )
-def test_what_is_dropped_says_why(data, why):
+def test_dropped_datagrams_have_a_reason(data, why):
     assert wire.decode(data, "c", 1400) == (None, why)
 
 
-def test_a_datagram_keeps_within_its_bytes():
+def test_datagrams_stay_within_their_bytes():
     m = machine()
     for i in range(300):
-        told(m, 1.0, news(f"member-with-a-long-name-{i:04}", 10**12, address=("10.200.200.200", 60000)))
+        receive(m, 1.0, update(f"member-with-a-long-name-{i:04}", 10**12, address=("10.200.200.200", 60000)))
     out = [a for t in range(0, 2000, 10) for a in m.handle(float(t), swim.Tick())]
     data = [a.data for a in out if isinstance(a, swim.Send)]
     assert len(data) > 10 and max(map(len, data)) <= 1400 and min(map(len, data)) > 1000
@@ -190,7 +190,7 @@
 
 
 class Fleet(RuleBasedStateMachine):
-    """Five members; any of them killed, paused, restarted with its id, cut off; datagrams lost."""
+    """Five members; any of them killed, paused, restarted with its id, or cut off; datagrams lost."""
 
     @initialize(seed=st.integers(0, 10_000))
     def begin(self, seed):
@@ -207,7 +207,7 @@
     def check_change(self, now, observer, change):
         member = self.fleet.members[observer]
         key = (observer, self.fleet._lives[observer], change.member)
-        assert change.incarnation >= self.highest.get(key, -1), "an incarnation went down in a view"
+        assert change.incarnation >= self.highest.get(key, -1), "an incarnation decreased in a view"
         self.highest[key] = change.incarnation
         assert len(member.members) <= member.tuning.most_members
 
@@ -220,10 +220,12 @@
         self.fleet.kill(i)
 
     @rule(i=st.integers(0, 4))
-    def start_again(self, i):
+    def restart(self, i):
         own = self.fleet.members[i].incarnation if self.fleet.members[i] else -1
         self.fleet.kill(i)
-        self.fleet.run(self.fleet.now + 5)  # a restart takes some time; the new life starts at the clock's
+        self.fleet.run(
+            self.fleet.now + 5
+        )  # a restart takes some time; the new incarnation starts at the clock's
         self.fleet.start(i, seeds=tuple(j for j in range(5) if j != i))
         assert self.fleet.members[i].incarnation > own
 
@@ -232,7 +234,7 @@
         self.fleet.pause(i)
 
     @rule(i=st.integers(0, 4))
-    def go_on(self, i):
+    def resume(self, i):
         self.fleet.resume(i)
 
     @rule(cut=st.sets(st.integers(0, 4), min_size=1, max_size=3))
@@ -240,12 +242,12 @@
         self.fleet.partition(cut, set(range(5)) - cut)
 
     @rule(a=st.integers(0, 4), b=st.integers(0, 4))
-    def one_way(self, a, b):
+    def cut_one_way(self, a, b):
         if a != b:
             self.fleet.line.cuts.add((a, b))
 
     @rule(loss=st.sampled_from([0.0, 0.05, 0.2]))
-    def lossy(self, loss):
+    def set_loss(self, loss):
         self.fleet.line.loss = loss
 
     @rule()
@@ -256,14 +258,16 @@
     def own_refutation_wins(self):
         for member in self.fleet.members:
             if member is not None and member.started:
-                member = copy.deepcopy(member)  # what it would do, not done to the one at play
-                said = MemberUpdate(member.me, *member.address, member.incarnation, State.SUSPECT, "someone")
+                member = copy.deepcopy(member)  # on a copy: the member itself is not changed
+                update = MemberUpdate(
+                    member.me, *member.address, member.incarnation, State.SUSPECT, "someone"
+                )
                 before = member.incarnation
-                member._suspect(self.fleet.now, said)
+                member._suspect(self.fleet.now, update)
                 assert member.incarnation > before and member._queue[member.me].update.state is State.ALIVE
 
     def teardown(self):
-        """Once all is healed and running, the views agree again, without a restart."""
+        """Once all faults are healed and all members run, the views agree again, without a restart."""
         fleet = getattr(self, "fleet", None)
         if fleet is None:
             return
@@ -280,8 +284,8 @@
         raise AssertionError(f"views did not agree: {fleet.views()}")
 
 
-def test_halves_that_have_forgotten_each_other_find_each_other_by_their_seeds():
-    """Apart for longer than tombstones are kept: neither half has a member of the other left to ask."""
+def test_halves_of_a_long_partition_find_each_other_by_their_seeds():
+    """A partition that outlasts the tombstones: neither half has a member of the other in its view."""
     tuning = Tuning(period_ms=200, probe_timeout_ms=80, gossip_ms=50, push_pull_ms=2000, tombstone_ms=5000)
     fleet = VirtualFleet(5, tuning, seed=7)
     for i in range(5):
@@ -290,7 +294,7 @@
     assert fleet.agreed()
     fleet.partition({0, 1, 3}, {2, 4})
     fleet.run(fleet.now + 30_000)
-    assert {len(view) for view in fleet.views().values()} == {2, 3}  # the others' tombstones are gone
+    assert {len(view) for view in fleet.views().values()} == {2, 3}  # the others' tombstones have expired
     fleet.heal()
     fleet.run(fleet.now + 20_000)
     assert fleet.agreed(), fleet.views()
