--- a/molespur/fleet/crdt.py
+++ b/molespur/fleet/crdt.py
@@ -46,23 +46,23 @@
 class FleetCounters:
     """PN-counters by name over the fleet: one row for each member, our own among them."""
 
-    def __init__(self, me: str, instance: int, started_ms: float = 0.0, max_members: int = 1_024):
-        self.me, self.started_ms, self.max_members = me, started_ms, max_members
-        self.rows: dict[str, CounterRow] = {me: CounterRow(me, instance, {})}
+    def __init__(self, own_id: str, instance: int, started_ms: float = 0.0, max_members: int = 1_024):
+        self.own_id, self.started_ms, self.max_members = own_id, started_ms, max_members
+        self.rows: dict[str, CounterRow] = {own_id: CounterRow(own_id, instance, {})}
         self._past: dict[str, tuple[int, int]] = {}  # what our row contains from past instances
         self._instances = {instance}  # instance numbers that our row has had in this process
 
     def add(self, name: str, count: int = 1) -> None:
         """Add `count` (or subtract it, below 0) to one of our counters."""
-        mine = self.rows[self.me]
+        mine = self.rows[self.own_id]
         added, taken = mine.counts.get(name, (0, 0))
         pair = (added + max(count, 0), taken + max(-count, 0))
         if name in mine.counts or len(mine.counts) < MAX_COUNTERS:
-            self.rows[self.me] = CounterRow(self.me, mine.instance, mine.counts | {name: pair})
+            self.rows[self.own_id] = CounterRow(self.own_id, mine.instance, mine.counts | {name: pair})
 
     def merge(self, row: CounterRow, now: float) -> bool:
         """Merge another row; True if it brings anything new."""
-        if row.member == self.me:
+        if row.member == self.own_id:
             return self._recover(row, now)
         held = self.rows.get(row.member)
         if held is None and len(self.rows) >= self.max_members:
@@ -77,7 +77,7 @@
         A later one comes from another process with our id; taking it over would go on for ever between the
         two.
         """
-        mine = self.rows[self.me]
+        mine = self.rows[self.own_id]
         if row.instance in self._instances or now - self.started_ms > RECOVERY_MS:
             return False
         past = {n: _larger(self._past.get(n, ZERO), pair) for n, pair in row.counts.items()} | {
@@ -93,7 +93,7 @@
         kept = dict(sorted(counts.items())[:MAX_COUNTERS])
         instance = max(mine.instance, row.instance + 1)
         self._instances.add(instance)
-        self.rows[self.me] = CounterRow(self.me, instance, kept)
+        self.rows[self.own_id] = CounterRow(self.own_id, instance, kept)
         return True
 
     def total(self, name: str) -> int:
--- a/molespur/fleet/escrow.py
+++ b/molespur/fleet/escrow.py
@@ -59,7 +59,7 @@
 
     def __init__(
         self,
-        me: str,
+        own_id: str,
         instance: int,
         config: SharingConfig,
         owned: Callable[[float], list[float]],
@@ -67,7 +67,7 @@
         rng: random.Random,
         now: float,
     ):
-        self.me, self.instance, self.config, self.rng = me, instance, config, rng
+        self.own_id, self.instance, self.config, self.rng = own_id, instance, config, rng
         self._owned, self._used, self._started = owned, used, now
         self.budgets: dict[str, Budget] = {}
         self.counts: Counter = Counter()
@@ -149,7 +149,7 @@
                 budget.lent.setdefault(request.src, []).append((until, amount))
                 loans.append(Loan(shortfall.budget, amount, self.config.loan_ms))
         self.counts["loans_lent"] += len(loans)
-        return LoanReply(request.seq, self.me, request.instance, loans) if loans else None
+        return LoanReply(request.seq, self.own_id, request.instance, loans) if loans else None
 
     def _loan_amount(self, budget: Budget, shortfall: Shortfall, borrower: str, now: float) -> float:
         """This borrower's part of what we can spare, in proportion to all recent shortfalls."""
@@ -223,7 +223,7 @@
         self._pending[self._seq] = (now, member)
         self._pending.pop(self._seq - MAX_PENDING, None)
         self.counts["asks"] += 1
-        return LoanRequest(self._seq, self.me, self.instance, self.config.fingerprint, shortfalls)
+        return LoanRequest(self._seq, self.own_id, self.instance, self.config.fingerprint, shortfalls)
 
     def _add_shortfall(
         self, shortfalls: dict[str, list[Shortfall]], member: str, name: str, amount: float
--- a/molespur/fleet/gossip.py
+++ b/molespur/fleet/gossip.py
@@ -88,7 +88,7 @@
             nursery.start_soon(self._accept)
             own = self.membership
             address, bind = "{}:{}".format(*own.address), "{}:{}".format(*self.bind)
-            log.info("fleet.started", member=own.me, address=address, bind=bind)
+            log.info("fleet.started", member=own.own_id, address=address, bind=bind)
             self._perform(own.handle(self.clock.now(), Start(int(time.time() * 1000), seeds)))
             self.wheel.after(self.tick_ms, self._tick)
             task_status.started()
@@ -97,7 +97,7 @@
 
     def leave(self) -> None:
         """Announce that we leave; queued updates are still sent while the program ends."""
-        log.info("fleet.leaving", member=self.membership.me)
+        log.info("fleet.leaving", member=self.membership.own_id)
         self._perform(self.membership.handle(self.clock.now(), Leave()))
 
     def reseed(self, seeds: tuple[Address, ...]) -> None:
@@ -108,7 +108,7 @@
         """The view as lines: id, address, state, incarnation, seconds in that state."""
         now, lines = self.clock.now(), []
         for row in self.membership.view():
-            since = 0.0 if row.member == self.membership.me else (now - row.since_ms) / 1000
+            since = 0.0 if row.member == self.membership.own_id else (now - row.since_ms) / 1000
             address = "{}:{}".format(*row.address)
             lines.append(f"{row.member} {address} {row.state.name.lower()} {row.incarnation} {since:.1f}")
         return lines
@@ -176,7 +176,7 @@
                 if self._nursery is not None:
                     self._nursery.start_soon(self._push, action)
             elif isinstance(action, Refuted):
-                log.warning("fleet.refuted", member=self.membership.me, incarnation=action.incarnation,
+                log.warning("fleet.refuted", member=self.membership.own_id, incarnation=action.incarnation,
                             why=action.why)  # fmt: skip
             elif isinstance(action, Conflict):
                 log.warning("fleet.conflict", member=action.member, held="{}:{}".format(*action.held),
--- a/molespur/fleet/judgements.py
+++ b/molespur/fleet/judgements.py
@@ -17,9 +17,9 @@
 class Judgements:
     """The registers that one member holds."""
 
-    def __init__(self, me: str, ttl_ms: float, max_keys: int = 2_048, max_ahead_ms: int = 1_000):
+    def __init__(self, own_id: str, ttl_ms: float, max_keys: int = 2_048, max_ahead_ms: int = 1_000):
         self.ttl_ms = ttl_ms
-        self.clock = HybridClock(me, max_ahead_ms)
+        self.clock = HybridClock(own_id, max_ahead_ms)
         self.map = LWWMap(max_keys=max_keys)
         self._written_at: dict[str, float] = {}  # when each was written, by our clock
         self._offsets: dict[str, float] = {}  # how far ahead of ours other members' clocks are
--- a/molespur/fleet/shared.py
+++ b/molespur/fleet/shared.py
@@ -174,7 +174,7 @@
 
     def __init__(
         self,
-        me: str,
+        own_id: str,
         instance: int,
         config: SharingConfig,
         cluster: str,
@@ -184,19 +184,27 @@
         max_datagram_bytes: int = 1_400,
         loads: Callable[[], list[Load]] = list,
     ):
-        self.me, self.instance, self.config, self.cluster, self.rng = me, instance, config, cluster, rng
+        self.own_id, self.instance, self.config, self.cluster, self.rng = (
+            own_id,
+            instance,
+            config,
+            cluster,
+            rng,
+        )
         self.max_datagram_bytes = max_datagram_bytes
         self.counts: Counter = Counter()
         self.alive: dict[str, Address] = {}
-        self.witness = Witness(me, config.tickets, config.hold_ms, now) if me in config.witnesses else None
-        self.holder = Holder(me, instance, config)
-        self.escrow = Escrow(me, instance, config, self.holder.owned, used, rng, now)
+        self.witness = (
+            Witness(own_id, config.tickets, config.hold_ms, now) if own_id in config.witnesses else None
+        )
+        self.holder = Holder(own_id, instance, config)
+        self.escrow = Escrow(own_id, instance, config, self.holder.owned, used, rng, now)
         self.retries = RetryBudget(config, now) if config.retry_ratio else None
         if self.retries is not None:
             self.escrow.transfers[RETRY_BUDGET] = (self.retries.give, self.retries.take)
         self.requests, self.evidence = RequestWindow(config), Evidence(config)
-        self.judgements = Judgements(me, config.bad_ms)
-        self.totals = FleetCounters(me, instance, now)
+        self.judgements = Judgements(own_id, config.bad_ms)
+        self.totals = FleetCounters(own_id, instance, now)
         self._tickets = Assignment("ticket/", config.tickets)
         self._queue: dict[
             tuple[str, str], _QueuedItem
@@ -209,8 +217,8 @@
             str, tuple[RequestCounts, float]
         ] = {}  # worker -> (last sent to its judges, when)
         self._queried_at: dict[str, float] = {}  # worker -> when we, as its judge, queried the members
-        self.watching = Watching(me, config) if config.watchers else None
-        self.load_judge, self.loads, self._load_at = LoadJudge(me, config), loads, now
+        self.watching = Watching(own_id, config) if config.watchers else None
+        self.load_judge, self.loads, self._load_at = LoadJudge(own_id, config), loads, now
         self._fractions: tuple[float, ...] = ()
         self._refused_at: dict[tuple[str, str], float] = {}  # (member, why) -> when the last action was given
         self._owned = 0
@@ -273,7 +281,7 @@
 
     def _set_members(self, alive: dict[str, Address]) -> None:
         self.alive = dict(alive)
-        self._tickets.set_members([*alive, self.me])
+        self._tickets.set_members([*alive, self.own_id])
         if self.watching is not None:
             self.watching.set_members(alive)
         if len(alive) + 1 > self.config.size:
@@ -282,7 +290,7 @@
     # -- Messages ----------------------------------------------------------------------------------
 
     def _receive(self, now: float, unix_ms: float, message: StateMessage) -> None:
-        if message.src == self.me:
+        if message.src == self.own_id:
             self.counts["from_ourselves"] += 1
         elif isinstance(message, TicketRequest):
             self._answer_ticket_request(now, message)
@@ -367,9 +375,9 @@
     def _renew(self, now: float, unix_ms: float) -> None:
         """Request our tickets from the witnesses, and loans and retry rights from other members."""
         if self.config.witnesses:
-            request = self.holder.next_request(self._tickets.assigned_to(self.me), now)
+            request = self.holder.next_request(self._tickets.assigned_to(self.own_id), now)
             for witness in self.config.witnesses:
-                if witness == self.me:
+                if witness == self.own_id:
                     self.holder.handle_reply(self.witness.handle_request(request, now))
                 else:
                     self._send(witness, request)
@@ -405,16 +413,16 @@
             if not counts.failed and worker not in queried:
                 continue
             self._reported[worker] = (counts, now)
-            for judge in pick(worker, [*self.alive, self.me], self.config.judges):
-                if judge == self.me:
-                    self.evidence.record(self.me, (self.instance, self._seq), counts, now)
+            for judge in pick(worker, [*self.alive, self.own_id], self.config.judges):
+                if judge == self.own_id:
+                    self.evidence.record(self.own_id, (self.instance, self._seq), counts, now)
                 else:
                     by_judge.setdefault(judge, []).append(counts)
         for judge, found in by_judge.items():
             for start in range(0, len(found), MAX_ITEMS // 4):
                 batch = found[start : start + MAX_ITEMS // 4]
                 self._seq += 1
-                self._send(judge, EvidenceReport(self._seq, self.me, self.instance, batch))
+                self._send(judge, EvidenceReport(self._seq, self.own_id, self.instance, batch))
         self._judge_workers(now, unix_ms)
 
     def _judge_workers(self, now: float, unix_ms: float) -> None:
@@ -435,7 +443,7 @@
             elif verdict.bad and now - since >= self.config.settle_ms:
                 self._write_register(worker, BAD, now, unix_ms)
                 self.counts["judged_bad"] += 1
-                self._note_bad_workers(now, self.me, verdict)
+                self._note_bad_workers(now, self.own_id, verdict)
 
     def _write_register(self, worker: str, value: bytes, now: float, unix_ms: float) -> None:
         self._enqueue("register", worker, self.judgements.write(worker, value, now, unix_ms))
@@ -453,7 +461,7 @@
 
     def _enqueue_own_row(self, now: float, unix_ms: float) -> None:
         """Our own counter row is due to be sent."""
-        self._enqueue("row", self.me, self.totals.rows[self.me])
+        self._enqueue("row", self.own_id, self.totals.rows[self.own_id])
 
     def _gossip(self, now: float, unix_ms: float) -> None:
         """Pass registers and rows on to a few members."""
@@ -471,7 +479,7 @@
                     (registers if kind == "register" else rows).append(item)
                     room -= queued.size
             if registers or rows:
-                self._send(member, StateGossip(self.me, unix_ms, registers, rows))
+                self._send(member, StateGossip(self.own_id, unix_ms, registers, rows))
 
     def _enqueue(self, kind: str, key: str, item: RegisterUpdate | CounterRow) -> None:
         size = len(msgspec.msgpack.encode(item)) + 4
@@ -497,15 +505,15 @@
         """Report how our jobs ended to the judges; as the acting judge, decide what is to be shed."""
         if not self.config.priorities:
             return
-        loads, span, members = self.loads(), max(now - self._load_at, 1.0), [*self.alive, self.me]
+        loads, span, members = self.loads(), max(now - self._load_at, 1.0), [*self.alive, self.own_id]
         self._load_at = now
         self._seq += 1
         plain = [(one.offered, one.shed, one.good, one.late, one.bad) for one in loads]
         for judge in self.load_judge.judges(members):
-            if judge == self.me:
-                self.load_judge.record(self.me, (self.instance, self._seq), now, span, plain)
+            if judge == self.own_id:
+                self.load_judge.record(self.own_id, (self.instance, self._seq), now, span, plain)
             else:
-                self._send(judge, FleetLoadReport(self._seq, self.me, self.instance, span, plain))
+                self._send(judge, FleetLoadReport(self._seq, self.own_id, self.instance, span, plain))
         update = self.judgements.get(SHED_KEY, now)
         decided = self.load_judge.decide(
             now, members, None if update is None else update.age_ms, self.shed_fractions(now)
@@ -516,7 +524,7 @@
             )
         fractions = self.shed_fractions(now)
         if fractions != self._fractions and (any(fractions) or any(self._fractions)):
-            self._out.append(SheddingChanged(fractions, update.stamp.member if update else self.me))
+            self._out.append(SheddingChanged(fractions, update.stamp.member if update else self.own_id))
         self._fractions = fractions
 
     def _send(self, member: str, message: StateMessage) -> None:
@@ -559,14 +567,14 @@
             lines += [f"borrowed {name} {member} {amount:.4f}"] if now < until else []
     ledger = one.witness.lent.values() if one.witness else ()
     lent = Counter(who for (who, _), until in ledger if until > now) if one.witness else None
-    for member in sorted([one.me, *one.alive]):
+    for member in sorted([one.own_id, *one.alive]):
         lines.append(
             f"tickets {member} {len(one.tickets_assigned_to(member))} {'-' if lent is None else lent[member]}"
         )
     for worker in sorted(one.bad_workers(now)):
         left = one.config.bad_ms - one.judgements.get(worker, now).age_ms
         lines.append(f"bad {worker} {left / 1000:.1f}")
-    ours = one.totals.rows[one.me].counts
+    ours = one.totals.rows[one.own_id].counts
     for name in one.totals.names():
         added, taken = ours.get(name, (0, 0))
         lines.append(f"count {name} {one.totals.total(name)} {added - taken}")
@@ -581,7 +589,7 @@
     `amplification ATTEMPTS PER_FIRST` over the fleet, `watched WORKER USERS` for each worker that this member
     probes for others.
     """
-    members = [*one.alive, one.me]
+    members = [*one.alive, one.own_id]
     lines = [
         f"shed {name} {fraction:.3f}" for name, fraction in zip(names, one.shed_fractions(now), strict=False)
     ]
--- a/molespur/fleet/shedding.py
+++ b/molespur/fleet/shedding.py
@@ -201,8 +201,8 @@
 class LoadJudge:
     """One member's side of judging the fleet's load, in use where it is one of the judges."""
 
-    def __init__(self, me: str, config: SharingConfig):
-        self.me, self.config, self.admission = me, config, AdmissionRate()
+    def __init__(self, own_id: str, config: SharingConfig):
+        self.own_id, self.config, self.admission = own_id, config, AdmissionRate()
         self.acting = False  # our decision is in force, or will be
         # member -> ((instance, seq), when received, span of the report, its loads)
         self._reports: dict[str, tuple[tuple[int, int], float, float, list[Load]]] = {}
@@ -233,7 +233,7 @@
         was no recent one.
         """
         judges, self.acting = self.judges(members), False
-        if self.me not in judges:
+        if self.own_id not in judges:
             return None
         interval_ms, known = self.report_interval_ms(len(members)), set(members)
         kept = (
@@ -249,7 +249,7 @@
                 Load(*(round(scale * x) for x in (b.offered, b.shed, b.good, b.late, b.bad))) for b in loads
             )
             sums = [a + b for a, b in zip(sums, scaled, strict=True)]
-        rank, priorities = judges.index(self.me), list(self.config.priorities)
+        rank, priorities = judges.index(self.own_id), list(self.config.priorities)
         if rank and decided_age_ms is not None and decided_age_ms < rank * SHED_TTL_MS / 2:
             fractions = list(decided) or [0.0] * len(priorities)
             self.admission.follow(now, sums, interval_ms / 1000, fractions, priorities)
--- a/molespur/fleet/swim/exchange.py
+++ b/molespur/fleet/swim/exchange.py
@@ -23,7 +23,7 @@
         self._next_probe = now + self.rng.uniform(0.0, period)
         self._next_gossip = now + self.rng.uniform(0.0, self.tuning.gossip_ms)
         self._next_push = now + self.tuning.push_pull_ms * self.rng.uniform(0.5, 1.0)
-        self._out.append(Changed(self.me, self.address, State.ALIVE, self.incarnation, None, self.me))
+        self._out.append(Changed(self.own_id, self.address, State.ALIVE, self.incarnation, None, self.own_id))
         self._join(now)
 
     def _join(self, now: float) -> None:
@@ -41,20 +41,22 @@
         if self.leaving or not self.started:
             return
         self.leaving = True
-        left = MemberUpdate(self.me, self.address[0], self.address[1], self.incarnation, State.LEFT, self.me)
-        self._queue[self.me] = QueuedUpdate(left)
+        left = MemberUpdate(
+            self.own_id, self.address[0], self.address[1], self.incarnation, State.LEFT, self.own_id
+        )
+        self._queue[self.own_id] = QueuedUpdate(left)
         others = self.alive()
         for member_id in self.rng.sample(others, min(len(others), 2 * self.tuning.gossip_nodes)):
-            self._send(self.members[member_id].address, Gossip(self.me, [left]))
+            self._send(self.members[member_id].address, Gossip(self.own_id, [left]))
         self._probe = None
 
     def _state(self, join: bool) -> bytes:
         own = MemberUpdate(
-            self.me, self.address[0], self.address[1], self.incarnation,
-            State.LEFT if self.leaving else State.ALIVE, self.me,
+            self.own_id, self.address[0], self.address[1], self.incarnation,
+            State.LEFT if self.leaving else State.ALIVE, self.own_id,
         )  # fmt: skip
         members = [own] + [m.as_update() for m in self.members.values()]
-        return wire.encode_exchange(self.cluster, self.me, join, members, self.shared_state())
+        return wire.encode_exchange(self.cluster, self.own_id, join, members, self.shared_state())
 
     def _push_pull(self) -> None:
         """Push to an alive member, every other time to a dead one, so that halves of a partition rejoin.
--- a/molespur/fleet/swim/membership.py
+++ b/molespur/fleet/swim/membership.py
@@ -84,7 +84,7 @@
         if self._suspects:
             for member_id in [m for m in self._suspects if self._suspicion_expired(m, now)]:
                 member = self.members[member_id]
-                self._declare(now, member, State.DEAD, member.incarnation, self.me)
+                self._declare(now, member, State.DEAD, member.incarnation, self.own_id)
         if now >= self._next_gossip:
             self._next_gossip = now + tuning.gossip_ms
             if self._queue:
--- a/molespur/fleet/swim/probing.py
+++ b/molespur/fleet/swim/probing.py
@@ -23,9 +23,9 @@
         timeout = now + tuning.scaled(tuning.probe_timeout_ms, self.health)
         self._probe = Probe(target.id, self._seq, timeout, self._next_probe)
         self.counts["probes"] += 1
-        buddy = target.as_update(self.me) if target.state is State.SUSPECT else None
+        buddy = target.as_update(self.own_id) if target.state is State.SUSPECT else None
         self._send(
-            target.address, Ping(self._seq, self.me, *self.address, target.id, self._take_updates(buddy))
+            target.address, Ping(self._seq, self.own_id, *self.address, target.id, self._take_updates(buddy))
         )
 
     def _next_target(self, now: float) -> Member | None:
@@ -42,7 +42,7 @@
         n = len(ring)
         if n < 2:
             return None
-        place = places[self.me]
+        place = places[self.own_id]
         for step in range(n - 1):
             member = self.members.get(ring[(place + 1 + (k + step) % (n - 1)) % n])
             if member is not None and member.state <= State.SUSPECT:
@@ -54,7 +54,7 @@
         key = (k // max(1, size - 1), self._ring_version)
         if self._ring_key != key:
             salt = key[0].to_bytes(8, "big")
-            ids = [self.me, *self.alive()]
+            ids = [self.own_id, *self.alive()]
             ids.sort(key=lambda one: hashlib.blake2b(one.encode(), digest_size=8, salt=salt[:8]).digest())
             self._ring_cache = (ids, {one: place for place, one in enumerate(ids)})
             self._ring_key, self._ring_size = key, len(ids)
@@ -69,7 +69,7 @@
         chosen = self.rng.sample(helpers, min(len(helpers), self.tuning.indirect))
         for helper in chosen:
             request = PingReq(
-                probe.seq, self.me, *self.address, target.id, *target.address, True, self._take_updates()
+                probe.seq, self.own_id, *self.address, target.id, *target.address, True, self._take_updates()
             )  # fmt: skip
             self._send(self.members[helper].address, request)
         probe.expected_nacks = len(chosen)
@@ -87,14 +87,14 @@
         if target is not None and target.state <= State.SUSPECT:
             # for a member that is already suspect this is a confirmation, which shortens its timeout
             self.counts["suspicions"] += 1
-            update = MemberUpdate(target.id, *target.address, target.incarnation, State.SUSPECT, self.me)
+            update = MemberUpdate(target.id, *target.address, target.incarnation, State.SUSPECT, self.own_id)
             self._suspect(now, update)
 
     def _expire_relays(self, now: float) -> None:
         for seq in [seq for seq, relay in self._relays.items() if now >= relay.until]:
             relay = self._relays.pop(seq)
             if relay.nack:
-                self._send(relay.requester, Nack(relay.requester_seq, self.me, self._take_updates()))
+                self._send(relay.requester, Nack(relay.requester_seq, self.own_id, self._take_updates()))
                 self.counts["nacks_sent"] += 1
 
     def _reconnect(self) -> None:
@@ -110,18 +110,22 @@
         self._seq += 1
         self.counts["reconnects"] += 1
         ping = Ping(
-            self._seq, self.me, *self.address, member.id, self._take_updates(member.as_update(self.me))
+            self._seq,
+            self.own_id,
+            *self.address,
+            member.id,
+            self._take_updates(member.as_update(self.own_id)),
         )
         self._send(member.address, ping)
 
     def _handle_ping(self, ping: Ping) -> None:
-        if ping.target != self.me:
+        if ping.target != self.own_id:
             self.counts["pings_not_ours"] += 1
             return
         held = self.members.get(ping.src)
         # tells a member that is not alive in our view so, so that it can refute
-        hint = held.as_update(self.me) if held is not None and held.state is not State.ALIVE else None
-        self._send((ping.host, ping.port), Ack(ping.seq, self.me, self._take_updates(hint)))
+        hint = held.as_update(self.own_id) if held is not None and held.state is not State.ALIVE else None
+        self._send((ping.host, ping.port), Ack(ping.seq, self.own_id, self._take_updates(hint)))
 
     def _handle_ack(self, ack: Ack) -> None:
         probe = self._probe
@@ -137,8 +141,8 @@
         self.counts["acks_late"] += 1
 
     def _handle_ping_req(self, now: float, request: PingReq) -> None:
-        if request.target == self.me:
-            self._send((request.host, request.port), Ack(request.seq, self.me, self._take_updates()))
+        if request.target == self.own_id:
+            self._send((request.host, request.port), Ack(request.seq, self.own_id, self._take_updates()))
             return
         if len(self._relays) >= MAX_RELAYS:
             self._relays.pop(next(iter(self._relays)))
@@ -149,5 +153,5 @@
         until = now + NACK_SHARE * (self.tuning.period_ms - self.tuning.probe_timeout_ms)
         self._relays[self._seq] = Relay((request.host, request.port), request.seq, request.nack, until)
         target = (request.target_host, request.target_port)
-        self._send(target, Ping(self._seq, self.me, *self.address, request.target, self._take_updates()))
+        self._send(target, Ping(self._seq, self.own_id, *self.address, request.target, self._take_updates()))
         self.counts["indirect_served"] += 1
--- a/molespur/fleet/swim/state.py
+++ b/molespur/fleet/swim/state.py
@@ -18,13 +18,13 @@
 
     def __init__(
         self,
-        me: str,
+        own_id: str,
         address: Address,
         tuning: Tuning | None = None,
         rng: random.Random | None = None,
         cluster: str = "",
     ):
-        self.me, self.address, self.cluster = me, address, cluster
+        self.own_id, self.address, self.cluster = own_id, address, cluster
         self.tuning = tuning or Tuning()
         self.rng = rng or random.Random(0)
         self.incarnation = 0
@@ -58,7 +58,7 @@
     def view(self) -> list[MemberInfo]:
         """The view: this member first, the others by id."""
         own = State.LEFT if self.leaving else State.ALIVE
-        rows = [MemberInfo(self.me, self.address, self.incarnation, own, 0.0)]
+        rows = [MemberInfo(self.own_id, self.address, self.incarnation, own, 0.0)]
         for member in sorted(self.members.values(), key=lambda m: m.id):
             rows.append(MemberInfo(member.id, member.address, member.incarnation, member.state, member.since))
         return rows
@@ -115,7 +115,7 @@
             updates = self._take_updates()
             if not updates:
                 return
-            self._send(self.members[member_id].address, Gossip(self.me, updates))
+            self._send(self.members[member_id].address, Gossip(self.own_id, updates))
 
     def _raise_health(self, delta: int) -> None:
         self.health = min(self.tuning.max_health, max(0, self.health + delta))
--- a/molespur/fleet/swim/updates.py
+++ b/molespur/fleet/swim/updates.py
@@ -23,13 +23,13 @@
             self._dead(now, update)
 
     def _alive(self, now: float, update: MemberUpdate) -> None:
-        if update.member == self.me:
+        if update.member == self.own_id:
             if self.leaving or update.incarnation < self.incarnation:
                 return
             if update.address == self.address and update.incarnation == self.incarnation:
                 return
             if update.address != self.address:
-                self._conflict(now, self.me, self.address, update.address)
+                self._conflict(now, self.own_id, self.address, update.address)
             self._refute(update.incarnation, "alive update about us that we did not send")
             return
         member = self.members.get(update.member)
@@ -60,7 +60,7 @@
         self._queue[member.id] = QueuedUpdate(member.as_update(update.by))
 
     def _suspect(self, now: float, update: MemberUpdate) -> None:
-        if update.member == self.me:
+        if update.member == self.own_id:
             if not self.leaving and update.incarnation >= self.incarnation:
                 self._raise_health(1)
                 self._refute(update.incarnation, f"suspected by {update.by}")
@@ -86,7 +86,7 @@
 
     def _dead(self, now: float, update: MemberUpdate) -> None:
         left = update.state is State.LEFT
-        if update.member == self.me:
+        if update.member == self.own_id:
             if not self.leaving and update.incarnation >= self.incarnation:
                 self._refute(update.incarnation, f"declared {update.state.name.lower()} by {update.by}")
             return
@@ -113,8 +113,10 @@
     def _refute(self, incarnation: int, why: str) -> None:
         self.incarnation = max(self.incarnation, incarnation) + 1
         self.counts["refutations"] += 1
-        own = MemberUpdate(self.me, self.address[0], self.address[1], self.incarnation, State.ALIVE, self.me)
-        self._queue[self.me] = QueuedUpdate(own)
+        own = MemberUpdate(
+            self.own_id, self.address[0], self.address[1], self.incarnation, State.ALIVE, self.own_id
+        )
+        self._queue[self.own_id] = QueuedUpdate(own)
         self._out.append(Refuted(self.incarnation, why))
 
     def _conflict(self, now: float, member: str, held: Address, claimed: Address) -> None:
--- a/molespur/fleet/tickets.py
+++ b/molespur/fleet/tickets.py
@@ -41,8 +41,8 @@
 class Witness:
     """One witness's ledger: which instance of which member holds which ticket, until when by our clock."""
 
-    def __init__(self, me: str, count: int, hold_ms: float, started_ms: float):
-        self.me, self.count, self.hold_ms = me, count, hold_ms
+    def __init__(self, own_id: str, count: int, hold_ms: float, started_ms: float):
+        self.own_id, self.count, self.hold_ms = own_id, count, hold_ms
         self.quiet_until = started_ms + hold_ms
         self.lent: dict[int, tuple[tuple[str, int], float]] = {}  # ticket -> ((member, instance), until)
         # (member, instance) -> (seq of its last request, when)
@@ -62,7 +62,7 @@
                 if ticket < self.count and (other == holder or until <= now):
                     self.lent[ticket] = (holder, now + self.hold_ms)
                     granted.add(ticket)
-        return TicketReply(request.seq, self.me, request.instance, to_bitmap(granted))
+        return TicketReply(request.seq, self.own_id, request.instance, to_bitmap(granted))
 
     def _forget(self, now: float) -> None:
         """Forget instances that no longer send requests, so that ever new ones do not use up memory."""
@@ -73,8 +73,8 @@
 class Holder:
     """One member's side: the tickets that it requests from the witnesses, and those that it owns."""
 
-    def __init__(self, me: str, instance: int, config: SharingConfig):
-        self.me, self.instance, self.config = me, instance, config
+    def __init__(self, own_id: str, instance: int, config: SharingConfig):
+        self.own_id, self.instance, self.config = own_id, instance, config
         self.last_released_at = -math.inf
         self.wanted: set[int] = set()  # tickets of the last request
         self._seq = 0
@@ -102,7 +102,7 @@
             t: grants for t, grants in self._grants.items() if t in self.wanted or self.owned_until(t) > now
         }
         return TicketRequest(
-            self._seq, self.me, self.instance, self.config.fingerprint, to_bitmap(self.wanted)
+            self._seq, self.own_id, self.instance, self.config.fingerprint, to_bitmap(self.wanted)
         )
 
     def handle_reply(self, reply: TicketReply) -> bool:
--- a/molespur/fleet/watching.py
+++ b/molespur/fleet/watching.py
@@ -19,18 +19,18 @@
 class Watching:
     """One member's side: the workers that it watches, and which members subscribe to them."""
 
-    def __init__(self, me: str, config: SharingConfig):
-        self.me, self.config = me, config
+    def __init__(self, own_id: str, config: SharingConfig):
+        self.own_id, self.config = own_id, config
         self.watched: frozenset[str] = frozenset()
         self._listed: frozenset[str] = frozenset()
-        self._members: list[str] = [me]
+        self._members: list[str] = [own_id]
         self._stale = False  # `watched` has to be determined again
         self._subscribers: dict[str, dict[str, float]] = {}  # worker -> member -> until
         self._reports: dict[str, dict[str, float]] = {}  # reports still to be forwarded
 
     def set_members(self, alive: Iterable[str]) -> None:
         """Set the other members that are alive."""
-        self._members, self._stale = [*alive, self.me], True
+        self._members, self._stale = [*alive, self.own_id], True
 
     def set_workers(self, workers: frozenset[str]) -> None:
         """Set the workers that are listed."""
@@ -67,9 +67,9 @@
         by_watcher: dict[str, list[str]] = {}
         for worker in workers:
             for member in self.watchers(worker):
-                if member != self.me:
+                if member != self.own_id:
                     by_watcher.setdefault(member, []).append(worker)
-        return [(member, ReportSubscription(self.me, names[at : at + MAX_WORKERS_PER_DATAGRAM]))
+        return [(member, ReportSubscription(self.own_id, names[at : at + MAX_WORKERS_PER_DATAGRAM]))
                 for member, names in by_watcher.items()
                 for at in range(0, len(names), MAX_WORKERS_PER_DATAGRAM)]  # fmt: skip
 
@@ -77,12 +77,12 @@
         """The reports to forward, by subscriber; first determines again what we watch, if it is stale."""
         if self._stale:
             self._stale = False
-            self.watched = frozenset(w for w in self._listed if self.me in self.watchers(w))
+            self.watched = frozenset(w for w in self._listed if self.own_id in self.watchers(w))
         by_subscriber: dict[str, list[WorkerReport]] = {}
         for worker, fields in self._reports.items():
             for member in self._subscribers.get(worker, ()):
                 by_subscriber.setdefault(member, []).append(WorkerReport(worker, fields))
         self._reports.clear()
-        return [(member, WorkerReports(self.me, found[at : at + MAX_REPORTS_PER_DATAGRAM]))
+        return [(member, WorkerReports(self.own_id, found[at : at + MAX_REPORTS_PER_DATAGRAM]))
                 for member, found in by_subscriber.items()
                 for at in range(0, len(found), MAX_REPORTS_PER_DATAGRAM)]  # fmt: skip
--- a/molespur/scheduler.py
+++ b/molespur/scheduler.py
@@ -181,7 +181,7 @@
             raise configuration.ConfigError(f"fleet.bind: {part.bind}: {problem}") from None
         seeds = read_seeds(part.seeds, part.seeds_file)
         if part.seeds_from_registry:
-            seeds = await self._seeds_from_registry(membership.me, advertise, seeds)
+            seeds = await self._seeds_from_registry(membership.own_id, advertise, seeds)
         self.fleet = link
         await self.nursery.start(link.run, seeds)
 
@@ -197,7 +197,7 @@
         given = (self.clock, self.counters, part.slow_multiple, rng)
         uses = FleetAdapter(self.host, self.upstream, self.cluster, *given)
         share = part.share(budget_kinds(settings, part.connections, part.cold), settings)
-        me, life, most = link.membership.me, int(time.time() * 1000), link.tuning.datagram_most
+        me, life, most = link.membership.own_id, int(time.time() * 1000), link.tuning.datagram_most
         now, name = self.clock.now(), self.fleet_part.cluster
         machine = SharedState(me, life, share, name, rng, uses.used, now, most, uses.loads)
         link.attach_state(machine, uses, part.adapts)
--- a/molespur/standins/virtual_fleet.py
+++ b/molespur/standins/virtual_fleet.py
@@ -78,7 +78,9 @@
         """
         for i in range(len(self.members)):
             self.start(i, ())
-        said = [MemberUpdate(m.me, *m.address, m.incarnation, State.ALIVE, m.me) for m in self.members]
+        said = [
+            MemberUpdate(m.own_id, *m.address, m.incarnation, State.ALIVE, m.own_id) for m in self.members
+        ]
         for i, member in enumerate(self.members):
             self._act(i, member.handle(self.now, PushSucceeded(Exchange(VERSION, "v", "", False, said))))
             member._queue.clear()
--- a/tests/fleet/test_swim.py
+++ b/tests/fleet/test_swim.py
@@ -260,11 +260,13 @@
             if member is not None and member.started:
                 member = copy.deepcopy(member)  # on a copy: the member itself is not changed
                 update = MemberUpdate(
-                    member.me, *member.address, member.incarnation, State.SUSPECT, "someone"
+                    member.own_id, *member.address, member.incarnation, State.SUSPECT, "someone"
                 )
                 before = member.incarnation
                 member._suspect(self.fleet.now, update)
-                assert member.incarnation > before and member._queue[member.me].update.state is State.ALIVE
+                assert (
+                    member.incarnation > before and member._queue[member.own_id].update.state is State.ALIVE
+                )
 
     def teardown(self):
         """Once all faults are healed and all members run, the views agree again, without a restart."""
