--- a/molespur/fleet/escrow.py
+++ b/molespur/fleet/escrow.py
@@ -25,9 +25,7 @@
 GROWTH_FACTOR = 2.0  # the target after a denial, as a multiple of what the member may spend
 DECAY_FACTOR = 0.5  # an unused target falls to this share at each renewal
 MIN_LOAN_SHARE = 0.01  # of what a member owns: a smaller loan is not worth a message
-OVERASK_FACTOR = (
-    2.0  # a shortfall is requested this many times over in total: not all lenders can give a part
-)
+OVERASK_FACTOR = 2.0  # a shortfall is requested this many times over: not all lenders can give a part
 MAX_REQUESTS_FACTOR = 8  # max members asked at one renewal, as a multiple of `max_lenders`
 MAX_PENDING = 128  # own requests whose replies are still accepted
 RENEW_BELOW = 0.75  # a loan is requested again once less than this share of its duration is left
@@ -41,13 +39,12 @@
     target: float = 0.0  # what we want to be able to spend
     denied: bool = False  # something was rejected for lack of it since the last renewal
     last_used_at: float = 0.0  # when it was last looked up here
-    lent: dict[str, list[tuple[float, float]]] = field(default_factory=dict)  # by borrower: (until, amount)
-    borrowed: dict[str, tuple[int, float, float]] = field(
-        default_factory=dict
-    )  # lender: (request, amount, until)
-    shortfalls: dict[str, tuple[float, float]] = field(
-        default_factory=dict
-    )  # borrower: (its shortfall, when)
+    # borrower -> its loans: (until, amount)
+    lent: dict[str, list[tuple[float, float]]] = field(default_factory=dict)
+    # lender -> (request, amount, until)
+    borrowed: dict[str, tuple[int, float, float]] = field(default_factory=dict)
+    # borrower -> (its shortfall, when it was requested)
+    shortfalls: dict[str, tuple[float, float]] = field(default_factory=dict)
 
 
 class Escrow:
--- a/molespur/fleet/retries.py
+++ b/molespur/fleet/retries.py
@@ -15,9 +15,7 @@
 from .sharing import SharingConfig
 
 TRANSFER_SHARE = 0.5  # of what a member has beyond one second's earnings, transferred on a request
-MAX_SAVED_S = (
-    2  # rights of at most the last seconds are kept, so that a quiet period does not fund a retry storm
-)
+MAX_SAVED_S = 2  # rights of these last seconds are kept, so that a quiet period funds no retry storm
 MAX_TRANSFERS_KEPT = 128  # received transfers that are remembered, to take each once
 
 
--- a/molespur/fleet/shared.py
+++ b/molespur/fleet/shared.py
@@ -202,7 +202,7 @@
         self.retries = RetryBudget(config, now) if config.retry_ratio else None
         if self.retries is not None:
             self.escrow.transfers[RETRY_BUDGET] = (self.retries.give, self.retries.take)
-        self.requests, self.evidence = RequestWindow(config), Evidence(config)
+        self.request_window, self.evidence = RequestWindow(config), Evidence(config)
         self.judgements = Judgements(own_id, config.bad_ms)
         self.totals = FleetCounters(own_id, instance, now)
         self._tickets = Assignment("ticket/", config.tickets)
@@ -231,7 +231,7 @@
         """Take one event; return the actions that follow from it."""
         self._out = []
         if isinstance(event, RequestEnded):
-            if not self.requests.record(event.worker, event.failed, now):
+            if not self.request_window.record(event.worker, event.failed, now):
                 self.counts["evidence_no_room"] += 1
         elif isinstance(event, StateReceived):
             self._receive(now, unix_ms, event.message)
@@ -402,7 +402,7 @@
                 self._out.append(JudgementExpired(worker))
         self.evidence.expire(now)
         queried = self.judgements.keys_with(QUERY, now)
-        window = self.requests.counts(now)
+        window = self.request_window.counts(now)
         self._reported = {w: r for w, r in self._reported.items() if w in window}
         by_judge: dict[str, list[RequestCounts]] = {}
         self._seq += 1
@@ -453,7 +453,7 @@
         for worker in sorted(bad - self._bad):
             # guards against the same evidence counting against a worker again after its judgement expires
             self.evidence.reports.pop(worker, None)
-            self.requests.forget(worker)
+            self.request_window.forget(worker)
             self._out.append(WorkerJudgedBad(worker, by, verdict))
         for worker in sorted(self._bad - bad):
             self._out.append(JudgementExpired(worker))
@@ -492,7 +492,7 @@
     def _subscribe(self, now: float, unix_ms: float) -> None:
         """Subscribe to reports of the workers that we use, at their watchers."""
         if self.watching is not None:
-            for member, subscription in self.watching.subscriptions(self.requests.counts(now), now):
+            for member, subscription in self.watching.subscriptions(self.request_window.counts(now), now):
                 self._send(member, subscription)
 
     def _forward_reports(self, now: float, unix_ms: float) -> None:
--- a/molespur/fleet/sharing.py
+++ b/molespur/fleet/sharing.py
@@ -198,9 +198,7 @@
 
     witnesses: tuple[str, ...] = ()  # member ids; without any, each member has its floor alone
     size: int = 1  # max members of the fleet
-    floor: float = (
-        0.05  # share of each budget, divided by `size`, that a member may spend without any contact
-    )
+    floor: float = 0.05  # of each budget, divided by `size`: what a member may spend without any contact
     tickets: int = 256
     lease_ms: float = 4_000.0  # of a ticket
     loan_ms: float = 2_000.0
@@ -224,7 +222,7 @@
     retry_ratio: float = 0.0  # retries for each first attempt, over the fleet; 0: not bounded
     retry_floor: float = 2.0  # retries a second of all members together, available without any contact
     watchers: int = 0  # members that probe a worker; 0: each member probes for itself
-    subscribe_ms: float = 5_000.0  # interval at which watchers are told what this member uses
+    subscribe_ms: float = 5_000.0  # interval of subscriptions at the watchers
     reports_ms: float = 100.0  # interval at which worker reports are forwarded
     priorities: tuple[int, ...] = ()  # of the classes, where the fleet sheds load together; (): it does not
     load_ms: float = 500.0  # interval of load reports to the judges, longer beyond 50 members
--- a/molespur/fleet/shedding.py
+++ b/molespur/fleet/shedding.py
@@ -41,9 +41,7 @@
 CHANGE_MS = 1_500.0  # interval between two changes of the fractions
 LEVEL_STEP = 0.2  # max rise of the level (in priorities) at one change
 RETRY_SHARE = 0.8  # of the attempts admitted and refused, the share taken to be of jobs that come again
-SURGE_END_SHARE = (
-    0.6  # offered less than this share of the last sum: the surge ends, and that sum is no guide
-)
+SURGE_END_SHARE = 0.6  # with less offered than this share of the last sum, the surge ends: start a new mean
 SURGE_START_MS = 2_000.0  # start of a surge, in which changes come faster, each up to the end of a priority
 MIN_ENDED_JOBS = 10  # fewer ended jobs than this are no evidence
 SHED_TTL_MS = 3_000.0  # how long a decision of the acting judge holds unless it is renewed
--- a/molespur/fleet/swim/exchange.py
+++ b/molespur/fleet/swim/exchange.py
@@ -31,7 +31,7 @@
             self._join_at = None
             return
         for seed in self.rng.sample(self._seeds, min(JOIN_SEEDS, len(self._seeds))):
-            self._out.append(Push(seed, self._state(True), True))
+            self._out.append(Push(seed, self._encode_state(True), True))
         self.counts["join_tries"] += 1
         backoff = self.tuning.join_retry_ms * 2 ** min(self._join_tries, 4)
         self._join_tries += 1
@@ -50,7 +50,7 @@
             self._send(self.members[member_id].address, Gossip(self.own_id, [left]))
         self._probe = None
 
-    def _state(self, join: bool) -> bytes:
+    def _encode_state(self, join: bool) -> bytes:
         own = MemberUpdate(
             self.own_id, self.address[0], self.address[1], self.incarnation,
             State.LEFT if self.leaving else State.ALIVE, self.own_id,
@@ -80,7 +80,7 @@
         else:
             return
         self.counts["pushes"] += 1
-        self._out.append(Push(target, self._state(False), False))
+        self._out.append(Push(target, self._encode_state(False), False))
 
     def _merge(self, now: float, exchange: Exchange) -> None:
         """Merge a view as memberlist does: a member that is dead in it becomes only suspect here."""
--- a/molespur/fleet/swim/members.py
+++ b/molespur/fleet/swim/members.py
@@ -49,10 +49,10 @@
 class Probe:
     """The pending probe."""
 
-    __slots__ = ("ends", "expected_nacks", "indirect_sent", "nacks", "seq", "target", "timeout")
+    __slots__ = ("ends_at", "expected_nacks", "indirect_sent", "nacks", "seq", "target", "timeout_at")
 
-    def __init__(self, target: str, seq: int, timeout: float, ends: float):
-        self.target, self.seq, self.timeout, self.ends = target, seq, timeout, ends
+    def __init__(self, target: str, seq: int, timeout_at: float, ends_at: float):
+        self.target, self.seq, self.timeout_at, self.ends_at = target, seq, timeout_at, ends_at
         self.indirect_sent, self.expected_nacks, self.nacks = False, 0, 0
 
 
--- a/molespur/fleet/swim/membership.py
+++ b/molespur/fleet/swim/membership.py
@@ -45,7 +45,7 @@
         self._postpone_after_stall(now)
         self.counts["pushes_taken"] += 1
         self._merge(now, exchange)
-        return self._state(exchange.join), self._out
+        return self._encode_state(exchange.join), self._out
 
     # -- Time ----------------------------------------------------------------------------------
 
@@ -54,28 +54,28 @@
 
         Pending timeouts are postponed by the gap, so that acks that arrived meanwhile are read first.
         """
-        if self._last is not None and now - self._last > self.tuning.stall_threshold_ms:
-            gap = now - self._last
+        if self._last_call_at is not None and now - self._last_call_at > self.tuning.stall_threshold_ms:
+            gap = now - self._last_call_at
             self.counts["held"] += 1
             self._raise_health(1)
             if self._probe is not None:
-                self._probe.timeout += gap
-                self._probe.ends += gap
+                self._probe.timeout_at += gap
+                self._probe.ends_at += gap
             for member_id in self._suspects:
                 suspicion = self.members[member_id].suspicion
                 if suspicion is not None:
                     suspicion.start += gap
             for relay in self._relays.values():
                 relay.until += gap
-        self._last = now if self._last is None else max(self._last, now)
+        self._last_call_at = now if self._last_call_at is None else max(self._last_call_at, now)
 
     def _run_timers(self, now: float) -> None:
         tuning = self.tuning
         if self._probe is not None:
             probe = self._probe
-            if not probe.indirect_sent and now >= probe.timeout:
+            if not probe.indirect_sent and now >= probe.timeout_at:
                 self._send_indirect(now, probe)
-            if now >= probe.ends:
+            if now >= probe.ends_at:
                 self._probe_failed(now, probe)
         if self._probe is None and now >= self._next_probe and not self.leaving:
             self._start_probe(now)
--- a/molespur/fleet/swim/probing.py
+++ b/molespur/fleet/swim/probing.py
@@ -88,7 +88,7 @@
             # for a member that is already suspect this is a confirmation, which shortens its timeout
             self.counts["suspicions"] += 1
             update = MemberUpdate(target.id, *target.address, target.incarnation, State.SUSPECT, self.own_id)
-            self._suspect(now, update)
+            self._apply_suspect(now, update)
 
     def _expire_relays(self, now: float) -> None:
         for seq in [seq for seq, relay in self._relays.items() if now >= relay.until]:
--- a/molespur/fleet/swim/state.py
+++ b/molespur/fleet/swim/state.py
@@ -33,7 +33,7 @@
         self.counts: Counter = Counter()
         self.started = self.leaving = self.joined = False
         # the encoded snapshot of the shared state that is sent with push-pulls
-        self.shared_state: Callable[[], bytes] = lambda: wire.NOTHING
+        self.shared_state: Callable[[], bytes] = lambda: wire.NO_SNAPSHOT
         self._suspects: set[str] = set()
         self._ring_version = 0  # raised whenever a member enters or leaves the ring
         self._ring_key: tuple[int, int] | None = None
@@ -44,7 +44,7 @@
         self._relays: dict[int, Relay] = {}
         self._queue: dict[str, QueuedUpdate] = {}
         self._seeds: tuple[Address, ...] = ()
-        self._last: float | None = None
+        self._last_call_at: float | None = None
         self._next_probe = self._next_gossip = self._next_push = self._next_purge = 0.0
         self._next_reconnect = 0.0
         self._join_at: float | None = None
@@ -109,7 +109,7 @@
         targets = self.alive() + [
             m.id
             for m in self.members.values()
-            if m.state is State.DEAD and m.since >= (self._last or 0.0) - self.tuning.period_ms * 2
+            if m.state is State.DEAD and m.since >= (self._last_call_at or 0.0) - self.tuning.period_ms * 2
         ]  # members just declared dead are included, so that they can refute
         for member_id in self.rng.sample(targets, min(len(targets), self.tuning.gossip_nodes)):
             updates = self._take_updates()
--- a/molespur/fleet/swim/updates.py
+++ b/molespur/fleet/swim/updates.py
@@ -16,20 +16,20 @@
 
     def _apply(self, now: float, update: MemberUpdate) -> None:
         if update.state is State.ALIVE:
-            self._alive(now, update)
+            self._apply_alive(now, update)
         elif update.state is State.SUSPECT:
-            self._suspect(now, update)
+            self._apply_suspect(now, update)
         else:
-            self._dead(now, update)
+            self._apply_dead(now, update)
 
-    def _alive(self, now: float, update: MemberUpdate) -> None:
+    def _apply_alive(self, now: float, update: MemberUpdate) -> None:
         if update.member == self.own_id:
             if self.leaving or update.incarnation < self.incarnation:
                 return
             if update.address == self.address and update.incarnation == self.incarnation:
                 return
             if update.address != self.address:
-                self._conflict(now, self.own_id, self.address, update.address)
+                self._report_conflict(now, self.own_id, self.address, update.address)
             self._refute(update.incarnation, "alive update about us that we did not send")
             return
         member = self.members.get(update.member)
@@ -38,7 +38,7 @@
             return
         if update.address != member.address:
             if member.state <= State.SUSPECT or update.incarnation <= member.incarnation:
-                self._conflict(now, member.id, member.address, update.address)
+                self._report_conflict(now, member.id, member.address, update.address)
                 return
         elif update.incarnation <= member.incarnation:
             return
@@ -59,7 +59,7 @@
         self._out.append(Changed(member.id, member.address, State.ALIVE, member.incarnation, None, update.by))
         self._queue[member.id] = QueuedUpdate(member.as_update(update.by))
 
-    def _suspect(self, now: float, update: MemberUpdate) -> None:
+    def _apply_suspect(self, now: float, update: MemberUpdate) -> None:
         if update.member == self.own_id:
             if not self.leaving and update.incarnation >= self.incarnation:
                 self._raise_health(1)
@@ -84,7 +84,7 @@
         suspicion = self.members[member_id].suspicion
         return suspicion is not None and now >= suspicion.deadline()
 
-    def _dead(self, now: float, update: MemberUpdate) -> None:
+    def _apply_dead(self, now: float, update: MemberUpdate) -> None:
         left = update.state is State.LEFT
         if update.member == self.own_id:
             if not self.leaving and update.incarnation >= self.incarnation:
@@ -119,7 +119,7 @@
         self._queue[self.own_id] = QueuedUpdate(own)
         self._out.append(Refuted(self.incarnation, why))
 
-    def _conflict(self, now: float, member: str, held: Address, claimed: Address) -> None:
+    def _report_conflict(self, now: float, member: str, held: Address, claimed: Address) -> None:
         self.counts["conflicts"] += 1
         key = (member, claimed)
         if now - self._conflicts.get(key, -math.inf) < CONFLICT_INTERVAL_MS:
--- a/molespur/fleet/wire.py
+++ b/molespur/fleet/wire.py
@@ -19,7 +19,7 @@
 _message = msgspec.msgpack.Decoder(AnyMessage)
 _exchange = msgspec.msgpack.Decoder(Exchange)
 _snapshot = msgspec.msgpack.Decoder(StateSnapshot | None)
-NOTHING = b"\xc0"  # nil
+NO_SNAPSHOT = b"\xc0"  # nil
 
 
 class _Head(msgspec.Struct, array_like=True):
@@ -67,7 +67,7 @@
 
 
 def encode_exchange(
-    cluster: str, src: str, join: bool, members: list[MemberUpdate], shared_state: bytes = NOTHING
+    cluster: str, src: str, join: bool, members: list[MemberUpdate], shared_state: bytes = NO_SNAPSHOT
 ) -> bytes:
     """Encode a push-pull state behind its length; `shared_state` is the result of `encode_snapshot`."""
     body = _encoder.encode(Exchange(VERSION, cluster, src, join, members, msgspec.Raw(shared_state)))
--- a/tests/fleet/test_swim.py
+++ b/tests/fleet/test_swim.py
@@ -263,7 +263,7 @@
                     member.own_id, *member.address, member.incarnation, State.SUSPECT, "someone"
                 )
                 before = member.incarnation
-                member._suspect(self.fleet.now, update)
+                member._apply_suspect(self.fleet.now, update)
                 assert (
                     member.incarnation > before and member._queue[member.own_id].update.state is State.ALIVE
                 )
