--- a/molespur/fleet/shared.py
+++ b/molespur/fleet/shared.py
@@ -169,7 +169,7 @@
 
     `handle(now, unix_ms, event) -> actions`.  `used(budget, now)` returns what we have spent of a budget
     within its grace period, `loads()` how each class's jobs ended since the last call.  Reading: `available`,
-    `bad_workers`, `shed_fractions`, `snapshot`, and the report functions below for operators.
+    `bad_workers`, `shed_fractions`, `snapshot`, and for operators `budget_lines` and `load_lines`.
     """
 
     def __init__(
@@ -206,16 +206,14 @@
         self.judgements = Judgements(own_id, config.bad_ms)
         self.totals = FleetCounters(own_id, instance, now)
         self._tickets = Assignment("ticket/", config.tickets)
-        self._queue: dict[
-            tuple[str, str], _QueuedItem
-        ] = {}  # ("register" or "row", key) still to be passed on
+        # ("register" or "row", key) -> an item that is still to be passed on
+        self._queue: dict[tuple[str, str], _QueuedItem] = {}
         self._next = {
             name: now + rng.uniform(0.0, 1.0) * getattr(config, f"{name}_ms") for name in PERIODIC_TASKS
         }
         self._seq = 0
-        self._reported: dict[
-            str, tuple[RequestCounts, float]
-        ] = {}  # worker -> (last sent to its judges, when)
+        # worker -> (counts last sent to its judges, when)
+        self._reported: dict[str, tuple[RequestCounts, float]] = {}
         self._queried_at: dict[str, float] = {}  # worker -> when we, as its judge, queried the members
         self.watching = Watching(own_id, config) if config.watchers else None
         self.load_judge, self.loads, self._load_at = LoadJudge(own_id, config), loads, now
