--- a/benchmarks/fleet_state.py
+++ b/benchmarks/fleet_state.py
@@ -29,10 +29,17 @@
 from molespur import Dispatcher, Settings
 from molespur import interface as io
 from molespur.fleet import shared
-from molespur.fleet.crdt import Counts, Row
+from molespur.fleet.crdt import CounterRow, FleetCounters
 from molespur.fleet.escrow import Escrow
-from molespur.fleet.sharing import Ask, Kind, Share, TicketAsk, Wish, tickets_for
-from molespur.fleet.tickets import Witness, to_bits
+from molespur.fleet.sharing import (
+    BudgetKind,
+    LoanRequest,
+    SharingConfig,
+    Shortfall,
+    TicketRequest,
+    tickets_for,
+)
+from molespur.fleet.tickets import Witness, to_bitmap
 from molespur.interface import FleetUpdate, JobClass, Outcome, UpdateMode, WorkerEntry
 from molespur.standins.fleet_load import FleetLoad, FleetWorker
 from molespur.standins.members import SETTINGS, Members, ask
@@ -59,8 +66,8 @@
 
 def fleet(n, hot, seed, kind=VirtualState, each=BOUND, settle=40_000):
     """A fleet in which `hot` members want all of the budget together."""
-    kinds = {"cold": Kind(BOUND, 1000.0)}
-    made = kind(n, Share(witnesses=WITNESSES, size=n, tickets=tickets_for(n), kinds=kinds), seed=seed)
+    kinds = {"cold": BudgetKind(BOUND, 1000.0)}
+    made = kind(n, SharingConfig(witnesses=WITNESSES, size=n, tickets=tickets_for(n), kinds=kinds), seed=seed)
     made.each = each
     made.demand = lambda i, now: {"cold/w": WANTED / hot} if i % (n // hot) == 0 else {}
     begin(made)
@@ -127,7 +134,7 @@
         self.n, self.rng, self.share = n, random.Random(seed), share
         settings = Settings(classes=(JobClass("lookup", 400.0, 3000.0),), balancers=n, max_attempts=3)
         self.made = [Dispatcher(settings, seed * 1000 + i) for i in range(n)]
-        self.state = VirtualState(n, Share(witnesses=WITNESSES, size=n), seed=seed)
+        self.state = VirtualState(n, SharingConfig(witnesses=WITNESSES, size=n), seed=seed)
         entries = tuple(WorkerEntry(f"w{k}") for k in range(40))
         for i, one in enumerate(self.made):
             self.state.start(i, (0, 1))
@@ -171,11 +178,11 @@
                 event = io.AttemptEnded(request, attempt, outcome, now - sent, not failed)
                 self.act(i, now, self.made[i].handle(now, event))
                 if self.share:
-                    self.state.tell(i, shared.Ended(worker, failed))
+                    self.state.tell(i, shared.RequestEnded(worker, failed))
             self.state.run(now + self.STEP_MS)
             if self.share and int(now / 100) != int((now + self.STEP_MS) / 100):
                 for i, one in enumerate(self.made):
-                    bad = self.state.shared[i].bad(self.state.clock(i))
+                    bad = self.state.shared[i].bad_workers(self.state.clock(i))
                     self.wrong |= bad - self.BAD
                     self.act(i, now, one.handle(now, io.SharedState(bad_workers=frozenset(bad))))
         return self
@@ -190,8 +197,10 @@
         found[name + "_first"] = statistics.mean(first)
         found[name + "_wrong"] = sum(len(play.wrong) for play in plays)
         if share:
-            judged = [min((t for t, _, a in play.state.notes if isinstance(a, shared.Judged)), default=1e9)
-                      for play in plays]  # fmt: skip
+            judged = [
+                min((t for t, _, a in play.state.notes if isinstance(a, shared.WorkerJudgedBad)), default=1e9)
+                for play in plays
+            ]
             found["judged_s"] = statistics.mean(t - 10_000 for t in judged) / 1000
     return found
 
@@ -215,25 +224,25 @@
 
 def cpu() -> str:
     """Microseconds of each merge and answer."""
-    share = Share(witnesses=WITNESSES, size=200, kinds={"cold": Kind(BOUND, 1000.0)})
-    rows = [Row(f"m{i}", 1, {f"c{k}": (k * i, 0) for k in range(6)}) for i in range(200)]
-    totals = Counts("m0", 1)
-    witness = Witness("m0", share.tickets, share.keep_ms, -1e9)
+    share = SharingConfig(witnesses=WITNESSES, size=200, kinds={"cold": BudgetKind(BOUND, 1000.0)})
+    rows = [CounterRow(f"m{i}", 1, {f"c{k}": (k * i, 0) for k in range(6)}) for i in range(200)]
+    totals = FleetCounters("m0", 1)
+    witness = Witness("m0", share.tickets, share.hold_ms, -1e9)
     escrow = Escrow("m0", 1, share, lambda now: [1e9] * 2, lambda b, now: 0.0, random.Random(1), -1e9)
-    bits, turn = to_bits([3, 9, 77]), [0]
+    bits, turn = to_bitmap([3, 9, 77]), [0]
 
     def seq():
         turn[0] += 1
         return turn[0]
 
-    wishes = [Wish(f"cold/w{k}", 1.0) for k in range(24)]
+    wishes = [Shortfall(f"cold/w{k}", 1.0) for k in range(24)]
     asks = {
         "a row merged": lambda: totals.merge(rows[seq() % 200], 0.0),
-        "tickets asked of a witness (3)": lambda: witness.ask(
-            TicketAsk(seq(), "m9", 1, share.mark, bits), 1.0
+        "tickets asked of a witness (3)": lambda: witness.handle_request(
+            TicketRequest(seq(), "m9", 1, share.fingerprint, bits), 1.0
         ),
-        "loans asked of a lender (24 budgets)": lambda: escrow.asked(
-            Ask(seq(), "m9", 1, share.mark, wishes), 1.0
+        "loans asked of a lender (24 budgets)": lambda: escrow.handle_request(
+            LoanRequest(seq(), "m9", 1, share.fingerprint, wishes), 1.0
         ),
         "what may be spent of a budget": lambda: escrow.available("cold/w1", 1.0),
     }
--- a/molespur/scheduler.py
+++ b/molespur/scheduler.py
@@ -167,7 +167,7 @@
             return
         import random
 
-        from .fleet.gossip import Link
+        from .fleet.gossip import Transport
         from .fleet.seeds import read_seeds
         from .fleet.swim import Membership
 
@@ -178,14 +178,16 @@
             settings.id or self.config.name, advertise, settings.tuning(), rng, settings.cluster
         )
         parts = (membership, bind, settings.tick_ms, self.wheel, self.clock, self.counters)
-        link = self._open_shared_state(parts, rng) if self.fleet_deployment.shared.enabled else Link(*parts)
+        link = (
+            self._open_shared_state(parts, rng) if self.fleet_deployment.shared.enabled else Transport(*parts)
+        )
         try:
             await link.open()
         except OSError as error:
             raise configuration.ConfigError(f"fleet.bind: {settings.bind}: {error}") from None
         seeds = read_seeds(settings.seeds, settings.seeds_file)
         if settings.seeds_from_registry:
-            seeds = await self._seeds_from_registry(membership.me, advertise, seeds)
+            seeds = await self._seeds_from_registry(membership.own_id, advertise, seeds)
         self.fleet = link
         await self.nursery.start(link.run, seeds)
 
@@ -193,18 +195,22 @@
         """A link that shares state, too; imported only with `[shared]`."""
         import time
 
-        from .fleet.shared import Shared
-        from .fleet.state import StateLink
-        from .fleet.uses import Uses, kinds
+        from .fleet.shared import SharedState
+        from .fleet.state import StateTransport
+        from .fleet.uses import FleetAdapter, budget_kinds
 
-        shared, settings, link = self.fleet_deployment.shared, self.config.settings, StateLink(*parts)
+        shared, settings, link = self.fleet_deployment.shared, self.config.settings, StateTransport(*parts)
         context = (self.clock, self.counters, shared.slow_multiple, rng)
-        uses = Uses(self.host, self.upstream, self.cluster, *context)
-        share = shared.share(kinds(settings, shared.connections, shared.cold), settings)
-        me, instance_id, max_bytes = link.membership.me, int(time.time() * 1000), link.tuning.datagram_most
+        uses = FleetAdapter(self.host, self.upstream, self.cluster, *context)
+        share = shared.share(budget_kinds(settings, shared.connections, shared.cold), settings)
+        me, instance_id, max_bytes = (
+            link.membership.own_id,
+            int(time.time() * 1000),
+            link.tuning.datagram_most,
+        )
         now, name = self.clock.now(), self.fleet_settings.cluster
-        machine = Shared(me, instance_id, share, name, rng, uses.used, now, max_bytes, uses.loads)
-        link.share(machine, uses, shared.adapts)
+        machine = SharedState(me, instance_id, share, name, rng, uses.used, now, max_bytes, uses.loads)
+        link.attach_state(machine, uses, shared.adapts)
         return link
 
     async def _seeds_from_registry(self, member: str, advertise, seeds: tuple) -> tuple:
--- a/molespur/standins/virtual_site.py
+++ b/molespur/standins/virtual_site.py
@@ -13,7 +13,7 @@
 
 from .. import interface as io
 from ..fleet import shared
-from ..fleet.sharing import Share
+from ..fleet.sharing import SharingConfig
 from ..fleet.shedding import Load
 from ..interface import FleetUpdate, JobClass, Outcome, Settings, UpdateMode, WorkerEntry
 from ..logic import Dispatcher
@@ -267,7 +267,7 @@
 
     STEP_MS, REFRESH_MS = 10.0, 50.0
 
-    def __init__(self, n: int, workers: int, share: Share, **more):
+    def __init__(self, n: int, workers: int, share: SharingConfig, **more):
         self.state = VirtualState(n, share, seed=more.get("seed", 1))
         self.share, self._loads = share, [Counter() for _ in range(n)]
         self.failing, self.learnt = [False] * n, 0
@@ -278,7 +278,7 @@
         super().__init__(n, workers, **more)
         self.state.loads = self._take_loads
         for i in range(n):
-            self.state.tell(i, shared.Workers(frozenset(self.workers)))
+            self.state.tell(i, shared.WorkersListed(frozenset(self.workers)))
         self._step()
 
     def _step(self) -> None:
@@ -289,19 +289,19 @@
                     self.tell(i, self.news(i, one, self.state.clock(i)))
         self.at(self.now + self.STEP_MS, self._step)
 
-    def news(self, i: int, one: shared.Shared, now: float) -> io.SharedState:
+    def news(self, i: int, one: shared.SharedState, now: float) -> io.SharedState:
         """What scheduler i's shared state tells its module."""
         retries = float("inf")
         if one.retries is not None:
             retries = one.retries.available(now)
             if retries < 1 and self.failing[i]:
-                one.retries.deny()
+                one.retries.record_denial()
             self.failing[i] = False
         names = [c.name for c in self.settings.classes]
         return io.SharedState(
-            bad_workers=frozenset(one.bad(now)), retries_left=retries,
+            bad_workers=frozenset(one.bad_workers(now)), retries_left=retries,
             probe_workers=one.watching.watched if one.watching is not None else None,
-            shed_shares=dict(zip(names, one.shed(now), strict=False)),
+            shed_shares=dict(zip(names, one.shed_fractions(now), strict=False)),
         )  # fmt: skip
 
     def _take_loads(self, i: int) -> list[Load]:
@@ -310,27 +310,27 @@
                 for c in self.settings.classes]  # fmt: skip
 
     def _note(self, i: int, action) -> None:
-        if isinstance(action, shared.Learnt):
+        if isinstance(action, shared.ReportReceived):
             self.learnt += 1
             self.at(self.now, self.tell, i, io.ProbeEnded(action.worker, Outcome.OK, 0.0, action.fields))
 
     def sent(self, i: int, number: int, worker: str) -> None:
         one, now = self.state.shared[i], self.state.clock(i)
         if one.retries is not None:
-            one.retries.spend(now) if number else one.retries.first(now)
+            one.retries.spend(now) if number else one.retries.record_first_attempt(now)
 
     def ended(self, i: int, worker: str, outcome: Outcome) -> None:
         if outcome is not Outcome.OK:
             self.failing[i] = True
         if outcome in (Outcome.OK, Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.TIMEOUT):
-            self.state.tell(i, shared.Ended(worker, outcome is not Outcome.OK))
+            self.state.tell(i, shared.RequestEnded(worker, outcome is not Outcome.OK))
 
     def probed(self, i: int, worker: str, report: dict[str, float]) -> None:
-        self.state.tell(i, shared.Probed(worker, report))
+        self.state.tell(i, shared.ReportProbed(worker, report))
 
     def answered(self, i: int, job: Job, end: str, took_ms: float) -> None:
         parts = dict(zip((c.name for c in self.settings.classes),
-                         self.state.shared[i].shed(self.state.clock(i)), strict=False))  # fmt: skip
+                         self.state.shared[i].shed_fractions(self.state.clock(i)), strict=False))  # fmt: skip
         what = "bad" if end != "served" else "good" if took_ms <= GOOD_MS else "late"
         if end == "refused" and job.key / 2**32 < parts.get(job.job_class, 0.0) and took_ms < 1.0:
             what = "shed"
--- a/molespur/standins/virtual_state.py
+++ b/molespur/standins/virtual_state.py
@@ -1,6 +1,6 @@
 """Many members that share state, in virtual time on the fleet view's network: deterministic from one seed.
 
-Each member's `Shared` goes by its own clock, which may be ahead, behind, or run faster.  Members spend
+Each member's `SharedState` goes by its own clock, which may be ahead, behind, or run faster.  Members spend
 budgets as told by `demand`: in each tick a member tries to spend so much, and may as far as its budget allows
 within the window.  What all have spent within any window is kept, and can be held against the bound.
 """
@@ -11,7 +11,7 @@
 
 from ..fleet import shared, wire
 from ..fleet.model import State, Tuning
-from ..fleet.sharing import Share, Sharing
+from ..fleet.sharing import SharingConfig, StateMessage
 from ..fleet.swim import Changed
 from .virtual_fleet import VirtualFleet
 
@@ -29,12 +29,12 @@
 
 
 class VirtualState(VirtualFleet):
-    """A fleet of `Shared` members; member i's clock shows `now * rate[i] + offset[i]`."""
+    """A fleet of `SharedState` members; member i's clock shows `now * rate[i] + offset[i]`."""
 
-    def __init__(self, n: int, share: Share, tuning: Tuning | None = None, seed: int = 1):
+    def __init__(self, n: int, share: SharingConfig, tuning: Tuning | None = None, seed: int = 1):
         super().__init__(n, tuning, seed)
         self.share = share
-        self.shared: list[shared.Shared | None] = [None] * n
+        self.shared: list[shared.SharedState | None] = [None] * n
         self.offset, self.rate, self.unix_off = [0.0] * n, [1.0] * n, [0.0] * n
         self.spenders: list[dict[str, Spender]] = [{} for _ in range(n)]
         self.spent: dict[str, deque] = {}  # budget -> (when, amount, member), within its window
@@ -57,20 +57,20 @@
     def start(self, i: int, seeds: tuple[int, ...] = (0,)) -> None:
         life = int(1_000_000 + self.now) + self._lives[i] + 1
         self.spenders[i] = {}
-        self.shared[i] = shared.Shared(
+        self.shared[i] = shared.SharedState(
             f"m{i}", life, self.share, "v", random.Random(self.rng.random()),
             lambda name, now, i=i: self._used(i, name, now), self.clock(i),
             loads=lambda i=i: self.loads(i),
         )  # fmt: skip
         super().start(i, seeds)
-        self.members[i].whole = lambda: wire.encode_whole(self.shared[i].whole(self.clock(i)))
+        self.members[i].shared_state = lambda: wire.encode_snapshot(self.shared[i].snapshot(self.clock(i)))
 
     def kill(self, i: int) -> None:
         super().kill(i)
         self.shared[i] = None
 
     def tell(self, i: int, event) -> None:
-        """Give member i's shared state an event, such as `shared.Ended`."""
+        """Give member i's shared state an event, such as `shared.RequestEnded`."""
         self._act(i, self.shared[i].handle(self.clock(i), self.unix(i), event))
 
     # -- Time --------------------------------------------------------------------------------------
@@ -80,28 +80,34 @@
         if i in self._changed:
             self._changed.discard(i)
             alive = (m for m in self.members[i].members.values() if m.state <= State.SUSPECT)
-            self.tell(i, shared.View({m.id: m.address for m in alive}))
+            self.tell(i, shared.MembersChanged({m.id: m.address for m in alive}))
         self.tell(i, shared.Tick())
         for name, wanted in self.demand(i, self.now).items():
             self._spend(i, name, wanted)
 
     def _take(self, i: int, message) -> None:
-        if isinstance(message, Sharing):
-            self.tell(i, shared.Heard(message))
+        if isinstance(message, StateMessage):
+            self.tell(i, shared.StateReceived(message))
         else:
             super()._take(i, message)
 
     def _carried(self, i: int, exchange) -> None:
-        whole, _ = wire.decode_whole(exchange.whole)
-        if whole is not None:
-            self.tell(i, shared.Carried(whole))
+        snapshot, _ = wire.decode_snapshot(exchange.shared_state)
+        if snapshot is not None:
+            self.tell(i, shared.SnapshotReceived(snapshot))
 
     def _act(self, i: int, actions: list) -> None:
         super()._act(i, actions)
         for action in actions:
             if isinstance(action, Changed):
                 self._changed.add(i)
-            if isinstance(action, shared.Judged | shared.Lifted | shared.Owned | shared.Shed):
+            if isinstance(
+                action,
+                shared.WorkerJudgedBad
+                | shared.JudgementExpired
+                | shared.TicketsChanged
+                | shared.SheddingChanged,
+            ):
                 self.notes.append((self.now, i, action))
             self.on_note(i, action)
 
@@ -118,7 +124,7 @@
         part = wanted * self.tick_ms / window
         amount = max(0.0, min(part, self.shared[i].available(name, now) - spender.used(now)))
         if amount < part:
-            self.shared[i].escrow.deny(name, now)
+            self.shared[i].escrow.record_denial(name, now)
         self.book(i, name, amount)
 
     def book(self, i: int, name: str, amount: float) -> None:
