--- a/molespur/config/deployment.py
+++ b/molespur/config/deployment.py
@@ -130,7 +130,8 @@
             suspicion_mult=self.suspicion_mult, suspicion_max_mult=self.suspicion_max_mult,
             retransmit_mult=self.retransmit_mult, gossip_ms=self.gossip_ms, gossip_nodes=self.gossip_nodes,
             push_pull_ms=self.push_pull_ms, tombstone_ms=self.tombstone_ms, most_members=self.most_members,
-            datagram_most=self.datagram_most, lag_ms=max(5 * self.tick_ms, self.probe_timeout_ms / 2),
+            datagram_most=self.datagram_most,
+            stall_threshold_ms=max(5 * self.tick_ms, self.probe_timeout_ms / 2),
         )  # fmt: skip
 
 
@@ -179,14 +180,16 @@
 
     def share(self, kinds: dict, settings):
         """The pure machine's tuning, for these kinds of budgets and the platform's settings."""
-        from ..fleet.sharing import Share, tickets_for
+        from ..fleet.sharing import SharingConfig, tickets_for
 
-        same = {f: getattr(self, f) for f in self.__struct_fields__ if f in Share.__dataclass_fields__}
+        same = {
+            f: getattr(self, f) for f in self.__struct_fields__ if f in SharingConfig.__dataclass_fields__
+        }
         same |= {"witnesses": tuple(self.witnesses), "size": self.size or settings.balancers, "kinds": kinds}
         same["tickets"] = self.tickets or tickets_for(same["size"])
         same["watchers"] = self.watchers if settings.may_probe else 0
         same["priorities"] = tuple(c.priority for c in settings.classes) if self.sheds else ()
-        return Share(**same)
+        return SharingConfig(**same)
 
 
 class Deployment(_Part):
--- a/molespur/fleet/state.py
+++ b/molespur/fleet/state.py
@@ -1,8 +1,8 @@
-"""The fleet's seam with shared state: `gossip.Link`, and beside the view what `shared.Shared` says.
+"""The transport of a member that shares state: `gossip.Transport`, plus the actions of `shared.SharedState`.
 
-It holds no rule of its own: it brings messages and what became of upstream requests to the pure machine,
-carries out what that says, and holds the program to its budgets (`uses.Uses`) at each tick, and at once
-where something was lent.  Counters are `fleet.shared.*`.
+It contains no rules.  It passes messages and the ends of upstream requests to the pure machine, carries out
+its actions, and applies the budgets to the program (`uses.FleetAdapter`) at each tick, and at once where
+something was lent.  Counters are `fleet.shared.*`.
 """
 
 import time
@@ -10,47 +10,47 @@
 
 from .. import logs
 from . import wire
-from .gossip import Link
+from .gossip import Transport
 from .model import Address, State
 from .shared import (
-    Carried,
-    Heard,
-    Judged,
-    Learnt,
-    Lifted,
-    Owned,
-    Refused,
-    Shared,
-    Shed,
+    JudgementExpired,
+    MembersChanged,
+    ReportReceived,
+    SharedState,
+    SheddingChanged,
+    SnapshotReceived,
+    StateReceived,
+    StateRefused,
     Tick,
-    View,
-    load_report,
-    report,
+    TicketsChanged,
+    WorkerJudgedBad,
+    budget_lines,
+    load_lines,
 )
-from .sharing import Sharing
-from .uses import Uses
+from .sharing import StateMessage
+from .uses import FleetAdapter
 
 log = logs.get(__name__)
 
 
-class StateLink(Link):
-    """One member on the network that shares state; `share` joins it before `open`."""
+class StateTransport(Transport):
+    """One member on the network that shares state; `attach_state` has to be called before `open`."""
 
-    def share(self, machine: Shared, uses: Uses, adapts: bool) -> None:
-        """Share state by this pure machine, for these uses; `adapts`: limits follow the service time."""
-        self.machine, self.uses = machine, uses
-        self._viewed: dict[str, Address] | None = None  # who lives, as the machine was told
-        self._lent = 0  # loans lent when the program was last held to its budgets
-        self.membership.whole = lambda: wire.encode_whole(machine.whole(self.clock.now()))
-        uses.connect(machine, self._tell, self._hold, adapts)
+    def attach_state(self, machine: SharedState, adapter: FleetAdapter, adapts: bool) -> None:
+        """Share state by this machine and adapter; `adapts`: connection limits follow the service time."""
+        self.machine, self.adapter = machine, adapter
+        self._members: dict[str, Address] | None = None  # alive members, as last passed to the machine
+        self._lent = 0  # loans lent when the budgets were last applied to the program
+        self.membership.shared_state = lambda: wire.encode_snapshot(machine.snapshot(self.clock.now()))
+        adapter.connect(machine, self._notify, self._apply_budgets, adapts)
 
     def budgets(self) -> list[str]:
-        """Shared budgets, who holds them, judgements and counts, as lines (`shared.report`)."""
-        return report(self.machine, self.clock.now())
+        """Shared budgets, who holds them, judgements and counters, as lines (`shared.budget_lines`)."""
+        return budget_lines(self.machine, self.clock.now())
 
     def load(self) -> list[str]:
-        """What is turned away, retries and probes over the fleet, as lines (`shared.load_report`)."""
-        return load_report(self.machine, self.clock.now(), self.uses.names)
+        """What is shed, retries and probes over the fleet, as lines (`shared.load_lines`)."""
+        return load_lines(self.machine, self.clock.now(), self.adapter.class_names)
 
     def publish(self) -> None:
         super().publish()
@@ -61,55 +61,59 @@
             self.counters["fleet.shared." + name] = count
         now = self.clock.now()
         self.counters["fleet.shared.tickets"] = len(self.machine.holder.owned(now))
-        self.counters["fleet.shared.bad"] = len(self.machine.bad(now))
+        self.counters["fleet.shared.bad"] = len(self.machine.bad_workers(now))
 
     # -- The hooks -----------------------------------------------------------------------------
 
     def _ticked(self, now: float) -> None:
         alive = {m.id: m.address for m in self.membership.members.values() if m.state <= State.SUSPECT}
-        if alive != self._viewed:
-            self._viewed = alive
-            self._tell(View(alive))
-        for name, count in self.uses.counted().items():
+        if alive != self._members:
+            self._members = alive
+            self._notify(MembersChanged(alive))
+        for name, count in self.adapter.take_counts().items():
             self.machine.totals.add(name, count)
-        self._tell(Tick())
-        self._hold()
+        self._notify(Tick())
+        self._apply_budgets()
 
     def _drained(self) -> None:
         if self._lent != self.machine.escrow.counts["loans_lent"]:
-            self._hold()  # guards against spending what has just been lent
+            self._apply_budgets()  # guards against spending what has just been lent
 
-    def _shared(self, message: Sharing) -> None:
-        self._tell(Heard(message))
+    def _receive_state(self, message: StateMessage) -> None:
+        self._notify(StateReceived(message))
 
-    def _carried(self, exchange) -> None:
-        whole, why = wire.decode_whole(exchange.whole)
-        if whole is not None:
-            self._tell(Carried(whole))
+    def _receive_snapshot(self, exchange) -> None:
+        snapshot, why = wire.decode_snapshot(exchange.shared_state)
+        if snapshot is not None:
+            self._notify(SnapshotReceived(snapshot))
         elif why:
             self.counters["fleet.whole_dropped." + why] += 1
 
-    def _do_more(self, action) -> None:
-        if isinstance(action, Judged):
-            about = asdict(action.verdict) if action.verdict else {}  # known to the judge alone
-            log.warning("fleet.judged_bad", worker=action.worker, by=action.by, **about)
-        elif isinstance(action, Lifted):
+    def _perform_other(self, action) -> None:
+        if isinstance(action, WorkerJudgedBad):
+            evidence = asdict(action.verdict) if action.verdict else {}  # known only to the judge
+            log.warning("fleet.judged_bad", worker=action.worker, by=action.by, **evidence)
+        elif isinstance(action, JudgementExpired):
             log.info("fleet.judgement_over", worker=action.worker)
-        elif isinstance(action, Owned):
+        elif isinstance(action, TicketsChanged):
             log.info("fleet.tickets", before=action.before, after=action.after)
-        elif isinstance(action, Learnt):
-            self.uses.learnt(action.worker, action.fields)
-        elif isinstance(action, Shed):
-            log.warning("fleet.shed", by=action.by, **dict(zip(self.uses.names, action.parts, strict=False)))
-        elif isinstance(action, Refused):
+        elif isinstance(action, ReportReceived):
+            self.adapter.deliver_report(action.worker, action.fields)
+        elif isinstance(action, SheddingChanged):
+            log.warning(
+                "fleet.shed",
+                by=action.by,
+                **dict(zip(self.adapter.class_names, action.fractions, strict=False)),
+            )
+        elif isinstance(action, StateRefused):
             log.warning("fleet.state_refused", member=action.member, why=action.why)
 
     # -- Between the machine and the program -----------------------------------------------------
 
-    def _tell(self, event) -> None:
-        self._do(self.machine.handle(self.clock.now(), time.time() * 1000, event))
+    def _notify(self, event) -> None:
+        self._perform(self.machine.handle(self.clock.now(), time.time() * 1000, event))
 
-    def _hold(self) -> None:
-        """Hold the program to what is shared, as it is now."""
+    def _apply_budgets(self) -> None:
+        """Apply what is shared now to the program."""
         self._lent = self.machine.escrow.counts["loans_lent"]
-        self.uses.refresh()
+        self.adapter.refresh()
--- a/molespur/fleet/wire.py
+++ b/molespur/fleet/wire.py
@@ -1,29 +1,29 @@
 """Messages between schedulers as bytes: msgpack by msgspec, checked and bounded.  Pure.
 
 A datagram is a `Packet` (version, cluster, body); a push-pull state over TCP is an `Exchange` behind a
-4-byte length.  Whatever can't be taken is told by a reason, which the seam counts; nothing raises.
+4-byte length.  Decoding never raises: it returns a reason instead, which the transport counts.
 """
 
 import struct
 
 import msgspec
 
-from .model import VERSION, Exchange, News, Packet
-from .sharing import Anything, Whole
+from .model import VERSION, Exchange, MemberUpdate, Packet
+from .sharing import AnyMessage, StateSnapshot
 
 LENGTH = struct.Struct("!I")
 REASONS = ("oversized", "malformed", "version", "cluster")
 
 _encoder = msgspec.msgpack.Encoder()
 _packet = msgspec.msgpack.Decoder(Packet)
-_message = msgspec.msgpack.Decoder(Anything)
+_message = msgspec.msgpack.Decoder(AnyMessage)
 _exchange = msgspec.msgpack.Decoder(Exchange)
-_whole = msgspec.msgpack.Decoder(Whole | None)
-NOTHING = b"\xc0"  # nil
+_snapshot = msgspec.msgpack.Decoder(StateSnapshot | None)
+NO_SNAPSHOT = b"\xc0"  # nil
 
 
 class _Head(msgspec.Struct, array_like=True):
-    """What any version of a packet or exchange begins with."""
+    """The first field of a packet or exchange in any version."""
 
     version: int
 
@@ -31,14 +31,14 @@
 _head = msgspec.msgpack.Decoder(_Head)
 
 
-def encode(cluster: str, message: Anything) -> bytes:
-    """One datagram."""
+def encode(cluster: str, message: AnyMessage) -> bytes:
+    """Encode a message as one datagram."""
     return _encoder.encode(Packet(VERSION, cluster, msgspec.Raw(_encoder.encode(message))))
 
 
-def news_size(news: News) -> int:
-    """Bytes that one piece of news adds to a datagram."""
-    return len(_encoder.encode(news))
+def update_size(update: MemberUpdate) -> int:
+    """Bytes that one update adds to a datagram."""
+    return len(_encoder.encode(update))
 
 
 def _version_of(data: bytes) -> int | None:
@@ -48,9 +48,9 @@
         return None
 
 
-def decode(data: bytes, cluster: str, most: int) -> tuple[Anything | None, str]:
-    """The message of a datagram and "", or None and the reason why not."""
-    if len(data) > most:
+def decode(data: bytes, cluster: str, max_bytes: int) -> tuple[AnyMessage | None, str]:
+    """The message of a datagram and "", or None and the reason for dropping it."""
+    if len(data) > max_bytes:
         return None, "oversized"
     try:
         packet = _packet.decode(data)
@@ -66,14 +66,16 @@
         return None, "malformed"
 
 
-def encode_exchange(cluster: str, src: str, join: bool, members: list[News], whole: bytes = NOTHING) -> bytes:
-    """A push-pull state with its length in front; `whole` is the shared state, as `encode_whole` gives it."""
-    body = _encoder.encode(Exchange(VERSION, cluster, src, join, members, msgspec.Raw(whole)))
+def encode_exchange(
+    cluster: str, src: str, join: bool, members: list[MemberUpdate], shared_state: bytes = NO_SNAPSHOT
+) -> bytes:
+    """Encode a push-pull state behind its length; `shared_state` is the result of `encode_snapshot`."""
+    body = _encoder.encode(Exchange(VERSION, cluster, src, join, members, msgspec.Raw(shared_state)))
     return LENGTH.pack(len(body)) + body
 
 
 def decode_exchange(body: bytes, cluster: str) -> tuple[Exchange | None, str]:
-    """A push-pull state (without its length) and "", or None and the reason why not."""
+    """A push-pull state (without its length) and "", or None and the reason for dropping it."""
     try:
         exchange = _exchange.decode(body)
     except (msgspec.DecodeError, msgspec.ValidationError):
@@ -85,14 +87,14 @@
     return exchange, ""
 
 
-def encode_whole(whole: Whole) -> bytes:
-    """The shared state that rides on a push-pull."""
-    return _encoder.encode(whole)
+def encode_snapshot(snapshot: StateSnapshot) -> bytes:
+    """Encode the shared state that is sent with a push-pull."""
+    return _encoder.encode(snapshot)
 
 
-def decode_whole(data: msgspec.Raw) -> tuple[Whole | None, str]:
-    """The shared state of a push-pull, None where there is none, and why not where it can't be taken."""
+def decode_snapshot(data: msgspec.Raw) -> tuple[StateSnapshot | None, str]:
+    """The shared state of a push-pull (None where there is none) and "", or None and the reason."""
     try:
-        return _whole.decode(data), ""
+        return _snapshot.decode(data), ""
     except (msgspec.DecodeError, msgspec.ValidationError):
         return None, "malformed"
--- a/molespur/policy/pair.py
+++ b/molespur/policy/pair.py
@@ -12,7 +12,7 @@
 from zlib import crc32
 
 from .model import FinishTimeModel
-from .placement import draw, meeting, warm_first
+from .placement import draw_candidate, prefer_warm, select_tier
 from .tracking import ServingPhase, WorkerTrack, prefill_rank
 
 PREFILL_TOKENS_PER_MS = 50.0  # prior; the model learns the real pace
@@ -136,11 +136,11 @@
             return None
         left = demand.target_at - now
         if len(demand.segments) > 1:
-            plans = warm_first(
+            plans = prefer_warm(
                 self.random, plans, WARM_PENALTY_MS, _forecast_ms, lambda plan: plan.prefix_match
             )
-        chosen, meets_target = meeting(self.random, plans, left, _forecast_ms, demand.repeatable)
-        return Selection(draw(self.random, chosen, [plan.cost_ms for plan in chosen]), meets_target)
+        chosen, meets_target = select_tier(self.random, plans, left, _forecast_ms, demand.repeatable)
+        return Selection(draw_candidate(self.random, chosen, [plan.cost_ms for plan in chosen]), meets_target)
 
     def choose_decode(
         self,
@@ -158,7 +158,7 @@
         costs = [
             s.forecast_ms + self._call_cost_ms(s.worker) + _transfer_cost_ms(source, s.worker) for s in steps
         ]
-        return draw(self.random, steps, costs)
+        return draw_candidate(self.random, steps, costs)
 
     def _usable(self, now, workers, avoid):
         known = [
--- a/molespur/system/control_plane/figures.py
+++ b/molespur/system/control_plane/figures.py
@@ -1,4 +1,4 @@
-"""The figures of a control-plane process."""
+"""The metrics of a control-plane process."""
 
 from collections import Counter
 
@@ -17,15 +17,15 @@
     host: ReplicaHost,
     feed: FeedSource,
     schedulers: SchedulerMonitor,
-    orders_given: Counter[tuple[str, str]],
+    order_counts: Counter[tuple[str, str]],
     failed_writes: int,
     now: float,
 ) -> list[Metric]:
-    """All figures as they are now; `now` in ms on the steady clock."""
+    """The current metrics; `now` in ms on the monotonic clock."""
     workers = Counter(
         (worker.service, pb.WorkerState.Name(worker.state).lower())
         for name in WORKER_GROUPS
-        for worker in host.groups[name].machine.workers.values()
+        for worker in host.groups[name].state_machine.workers.values()
     )
     return [
         _by_shard(host, "shard_leader", "1 where this process leads the shard.",
@@ -36,22 +36,22 @@
         _by_shard(host, "shard_applied_index", "Last entry that is part of the state here.",
                   lambda group: group.replica.log.applied_index),
         _by_shard(host, "shard_named_commit_index", "Last committed entry that a leader has named here.",
-                  lambda group: group.replica.named_commit_index),
+                  lambda group: group.replica.leader_commit_index),
         _by_shard(host, "shard_unsynced_entries", "Entries of the log that are not on this disk yet.",
                   lambda group: group.replica.log.last_index - group.replica.log.durable_index),
         _by_shard(host, "shard_voters", "Voting members.", lambda group: len(group.replica.voters())),
         _by_shard(host, "shard_leader_silence_ms", "Time since the leader was heard of, ms.",
-                  lambda group: min(group.replica.leader_silence(now), 1e9)),
+                  lambda group: min(group.replica.ms_since_leader_contact(now), 1e9)),
         _by_shard(host, "shard_state_age_ms", "Time since which the state here may lack something, ms.",
-                  lambda group: min(group.replica.state_age(now), 1e9)),
+                  lambda group: min(group.replica.state_age_ms(now), 1e9)),
         gauge("configuration_version", "Newest version that is known here; 0 before the first.",
-              host.groups[CONFIGURATION].machine.version),
+              host.groups[CONFIGURATION].state_machine.version),
         Metric("workers", MetricKind.GAUGE, "Workers by service and state.", ("service", "state"),
                dict(workers)),
         gauge("schedulers", "Schedulers heard of lately by any monitor.", len(schedulers.alive(now))),
         gauge("feed_followers", "Schedulers that follow the feed here.", len(feed.followers)),
         Metric("orders", MetricKind.COUNTER, "Orders given to workers, by part and outcome.",
-               ("part", "outcome"), dict(orders_given)),
+               ("part", "outcome"), dict(order_counts)),
         counter("disk_failed_writes", "Tries to write to the disk that have failed.", failed_writes),
         *traffic.metrics(),
     ]  # fmt: skip
--- a/molespur/system/data_plane/client_server.py
+++ b/molespur/system/data_plane/client_server.py
@@ -16,7 +16,7 @@
 from hypercorn.events import Closed, Event, RawData
 
 from .. import early_listener
-from ..errors import ANSWERS, ErrorKind
+from ..errors import ERROR_RESPONSES, ErrorKind
 from ..serving import http_config
 from ..settings.configuration import Limits
 
@@ -167,7 +167,7 @@
 
 def closing_response(kind: ErrorKind) -> bytes:
     """The bytes of the response of an error kind, after which the connection closes."""
-    status = ANSWERS[kind].status
+    status = ERROR_RESPONSES[kind].status
     lines = (
         b"HTTP/1.1 %d %s" % (status, REASON_PHRASES[status]),
         b"content-length: 0",
--- a/molespur/system/data_plane/ingress.py
+++ b/molespur/system/data_plane/ingress.py
@@ -24,8 +24,8 @@
     def may_refuse(self) -> bool:
         """Whether a request that the configuration does not allow may be refused permanently."""
 
-    async def wait_until_fresh(self, longest_s: float) -> None:
-        """Wait until `may_refuse`, at most `longest_s` seconds."""
+    async def wait_until_fresh(self, max_wait_s: float) -> None:
+        """Wait until `may_refuse`, at most `max_wait_s` seconds."""
 
 
 class Ingress(ServingContext):
--- a/molespur/system/errors.py
+++ b/molespur/system/errors.py
@@ -1,13 +1,13 @@
-"""The closed list of error kinds of the fleet, and the answer that each calls for."""
+"""The closed set of error kinds of the router fleet, and the HTTP response for each."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class ErrorKind(Enum):
-    """Everything that can go wrong with a request or a call."""
+    """All errors of a client request, of a call to the control plane, or at the start of a process."""
 
-    # a client's request
+    # client request
     MALFORMED = "malformed"
     HEADERS_TOO_LARGE = "headers-too-large"
     HEADERS_TOO_SLOW = "headers-too-slow"
@@ -15,74 +15,71 @@
     BODY_TOO_SLOW = "body-too-slow"
     NO_ROUTE = "no-route"
     NO_CONFIGURATION = "no-configuration"
-    OLD_CONFIGURATION = "old-configuration"  # a newer one, that may be in force elsewhere, might allow it
+    OLD_CONFIGURATION = "old-configuration"  # a newer one, possibly in force elsewhere, might allow it
     STOPPING = "stopping"
     NO_WORKER = "no-worker"
     OVERLOADED = "overloaded"
     OUT_OF_TIME_UNSENT = "out-of-time-unsent"
-    REJECTED = "rejected"  # every worker that was asked said that it did not run the request
+    REJECTED = "rejected"  # every worker that was tried reported that it did not run the request
     MAY_HAVE_RUN = "may-have-run"
     OUT_OF_TIME = "out-of-time"
-    # a call of the operator or of a worker
+    # call from the operator or a worker
     UNREADABLE = "unreadable"
     INVALID_CONFIGURATION = "invalid-configuration"
     VERSION_MISMATCH = "version-mismatch"
     NO_LEADER = "no-leader"
     OUTCOME_UNKNOWN = "outcome-unknown"
-    # a process
+    # process start
     BAD_SETTINGS = "bad-settings"
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """What a caller is told: a status, and whether it promises that the request did not and will not run."""
+class ErrorResponse:
+    """An HTTP status, and whether it guarantees that the request was not and will not be run."""
 
     status: int
-    promises_not_run: bool = False
+    guarantees_not_run: bool = False
     retry_after_s: float | None = None
 
 
-ANSWERS = {
-    ErrorKind.MALFORMED: Answer(400),
-    ErrorKind.HEADERS_TOO_LARGE: Answer(431),
-    ErrorKind.HEADERS_TOO_SLOW: Answer(408, promises_not_run=True),
-    ErrorKind.BODY_TOO_LARGE: Answer(413),
-    ErrorKind.BODY_TOO_SLOW: Answer(408, promises_not_run=True),
-    ErrorKind.NO_ROUTE: Answer(404),
-    ErrorKind.NO_CONFIGURATION: Answer(503, promises_not_run=True, retry_after_s=0.7),
-    ErrorKind.OLD_CONFIGURATION: Answer(503, promises_not_run=True, retry_after_s=0.3),
-    ErrorKind.STOPPING: Answer(503, promises_not_run=True, retry_after_s=0.05),
-    ErrorKind.NO_WORKER: Answer(503, promises_not_run=True, retry_after_s=0.2),
-    ErrorKind.OVERLOADED: Answer(503, promises_not_run=True, retry_after_s=0.25),
-    ErrorKind.OUT_OF_TIME_UNSENT: Answer(503, promises_not_run=True, retry_after_s=0.2),
-    ErrorKind.REJECTED: Answer(503, promises_not_run=True, retry_after_s=0.1),
-    ErrorKind.MAY_HAVE_RUN: Answer(502),
-    ErrorKind.OUT_OF_TIME: Answer(504),
-    ErrorKind.UNREADABLE: Answer(400),
-    ErrorKind.INVALID_CONFIGURATION: Answer(400),
-    ErrorKind.VERSION_MISMATCH: Answer(412),
-    ErrorKind.NO_LEADER: Answer(503),
-    ErrorKind.OUTCOME_UNKNOWN: Answer(503),
+ERROR_RESPONSES = {
+    ErrorKind.MALFORMED: ErrorResponse(400),
+    ErrorKind.HEADERS_TOO_LARGE: ErrorResponse(431),
+    ErrorKind.HEADERS_TOO_SLOW: ErrorResponse(408, guarantees_not_run=True),
+    ErrorKind.BODY_TOO_LARGE: ErrorResponse(413),
+    ErrorKind.BODY_TOO_SLOW: ErrorResponse(408, guarantees_not_run=True),
+    ErrorKind.NO_ROUTE: ErrorResponse(404),
+    ErrorKind.NO_CONFIGURATION: ErrorResponse(503, guarantees_not_run=True, retry_after_s=0.7),
+    ErrorKind.OLD_CONFIGURATION: ErrorResponse(503, guarantees_not_run=True, retry_after_s=0.3),
+    ErrorKind.STOPPING: ErrorResponse(503, guarantees_not_run=True, retry_after_s=0.05),
+    ErrorKind.NO_WORKER: ErrorResponse(503, guarantees_not_run=True, retry_after_s=0.2),
+    ErrorKind.OVERLOADED: ErrorResponse(503, guarantees_not_run=True, retry_after_s=0.25),
+    ErrorKind.OUT_OF_TIME_UNSENT: ErrorResponse(503, guarantees_not_run=True, retry_after_s=0.2),
+    ErrorKind.REJECTED: ErrorResponse(503, guarantees_not_run=True, retry_after_s=0.1),
+    ErrorKind.MAY_HAVE_RUN: ErrorResponse(502),
+    ErrorKind.OUT_OF_TIME: ErrorResponse(504),
+    ErrorKind.UNREADABLE: ErrorResponse(400),
+    ErrorKind.INVALID_CONFIGURATION: ErrorResponse(400),
+    ErrorKind.VERSION_MISMATCH: ErrorResponse(412),
+    ErrorKind.NO_LEADER: ErrorResponse(503),
+    ErrorKind.OUTCOME_UNKNOWN: ErrorResponse(503),
 }
-"""The one table from kind to answer.  `BAD_SETTINGS` ends the process and has no answer."""
+"""The response for each kind.  `BAD_SETTINGS` ends the process, so it has none."""
 
 REFUSED_BY_CONFIGURATION = frozenset(
     {ErrorKind.NO_ROUTE, ErrorKind.BODY_TOO_LARGE, ErrorKind.HEADERS_TOO_LARGE}
 )
-"""Refusals for good that another configuration might not call for:
-
-only a fresh one may be quoted for them.
-"""
+"""Permanent refusals that depend on the configuration: only a fresh configuration may justify them."""
 
 
 class FleetError(Exception):
-    """An error of a known kind.  `detail` is one line for the caller or the log."""
+    """An error of a known kind.  `detail` is a single line for the caller or the log."""
 
     def __init__(self, kind: ErrorKind, detail: str = ""):
         super().__init__(f"{kind.value}: {detail}" if detail else kind.value)
         self.kind, self.detail = kind, detail
 
     @property
-    def answer(self) -> Answer:
-        """What the caller is told."""
-        return ANSWERS[self.kind]
+    def response(self) -> ErrorResponse:
+        """The HTTP response for this error."""
+        return ERROR_RESPONSES[self.kind]
--- a/tests/operations/test_figures.py
+++ b/tests/operations/test_figures.py
@@ -11,7 +11,7 @@
 from trio.testing import MockClock, memory_stream_pair, wait_all_tasks_blocked
 
 from molespur.config import ClusterList
-from molespur.interface import NewsMode
+from molespur.interface import UpdateMode
 from molespur.net.cluster import Placed
 from molespur.operations.figures import Gauges, figures
 
@@ -27,7 +27,7 @@
         self.downstream.resize(60, 60, 200_000)
         self.host.max_streams = 12
 
-    def told(self, *states, mode=NewsMode.COMPLETE):
+    def told(self, *states, mode=UpdateMode.COMPLETE):
         """The list, or changes to it: w1, w2, .. in these states."""
         targets = [target(f"w{n}") | {"state": state} for n, state in enumerate(states, 1)]
         known = msgspec.convert({"rev": 1, "all": True, "targets": targets}, ClusterList)
@@ -49,13 +49,13 @@
                 await peer.stream.aclose()
                 return
             if mood < 0.2:
-                await self.say(peer, 500, b"")
+                await self.respond(peer, 500, b"")
             elif mood < 0.3:
-                await self.say(peer, 503, b"", [("X-Not-Processed", "1")])
+                await self.respond(peer, 503, b"", [("X-Not-Processed", "1")])
             elif mood < 0.33:
                 await trio.sleep_forever()
             else:
-                await self.say(peer, 200, b'{"id":"%b","state":"done","result":"x"}\n' % name.encode())
+                await self.respond(peer, 200, b'{"id":"%b","state":"done","result":"x"}\n' % name.encode())
             if peer.http.our_state is not h11.DONE or peer.http.their_state is not h11.DONE:
                 return
             peer.http.start_next_cycle()
@@ -82,7 +82,7 @@
         await peer.stream.send_all(data[cut:])
         self.open += 1
         with trio.move_on_after(patience_ms / 1000) as patience:
-            answer, _ = await peer.whole()
+            answer, _ = await peer.read_message()
         self.open -= 1
         if patience.cancelled_caught:
             self.left[job_class] += 1
@@ -156,15 +156,15 @@
             world.told("active", "active", "active", "leaving")
             assert world.cluster.known_and_skipped() == (4, 1)
             workers = world.dispatcher.workers
-            workers["w1"].eject_until = world.cluster.clock.now() + 1000
+            workers["w1"].ejected_until = world.cluster.clock.now() + 1000
             assert world.cluster.known_and_skipped() == (4, 2)
             # with more than half resting none is avoided
-            workers["w2"].eject_until = workers["w3"].eject_until = workers["w1"].eject_until
+            workers["w2"].ejected_until = workers["w3"].ejected_until = workers["w1"].ejected_until
             assert world.cluster.known_and_skipped() == (4, 1)
-            workers["w2"].eject_until = workers["w3"].eject_until = 0.0
-            world.told("left", mode=NewsMode.PARTIAL)
+            workers["w2"].ejected_until = workers["w3"].ejected_until = 0.0
+            world.told("left", mode=UpdateMode.PARTIAL)
             assert world.cluster.known_and_skipped() == (3, 1)
-            workers["w2"].eject_until = world.cluster.clock.now() - 1
+            workers["w2"].ejected_until = world.cluster.clock.now() - 1
             assert world.cluster.known_and_skipped() == (3, 1)
             nursery.cancel_scope.cancel()
 
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -41,7 +41,7 @@
 from molespur.config.deployment import ClusterPart, Deployment
 from molespur.config.deployment import Registry as RegistryPart
 from molespur.interface import Lifecycle, Started
-from molespur.lifecycle import Told
+from molespur.lifecycle import ProcessEvent
 from molespur.net.cluster import Cluster
 from molespur.net.counters import Counters
 from molespur.net.discovery import Discovery
@@ -97,7 +97,7 @@
             self.http.receive_data(data)
         return event
 
-    async def whole(self):
+    async def read_message(self):
         """The next whole message: its head and its body."""
         head, body = await self.event(), b""
         while type(event := await self.event()) is h11.Data:
@@ -138,7 +138,7 @@
         nursery.start_soon(self.wheel.run)
         self.host.deliver(Started())
         self.cluster.start()
-        self.service.tell(Told.READY)
+        self.service.tell(ProcessEvent.READY)
         self.start = trio.current_time()
 
     async def dial(self, address):
@@ -175,7 +175,7 @@
             name = headers.get(b"x-request-id", head.target).decode()
             self.requests[f"w{address[1] - 3000}", name] = peer
             if name.startswith("/"):
-                await self.say(peer, 200, b"cpu_share=0.5,x0=3")
+                await self.respond(peer, 200, b"cpu_share=0.5,x0=3")
             while peer.http.our_state is not h11.DONE:
                 if peer.ended or peer.http.our_state is h11.ERROR:
                     return
@@ -185,7 +185,7 @@
                         peer.ended = not await peer.stream.receive_some(1)
             peer.http.start_next_cycle()
 
-    async def say(self, peer, status, body, headers=()):
+    async def respond(self, peer, status, body, headers=()):
         http = peer.http
         headers = [*headers, ("Content-Length", str(len(body)))]
         head = http.send(h11.Response(status_code=status, headers=headers))
@@ -221,7 +221,7 @@
         elif words == ["closed"]:
             assert await peer.stream.receive_some(1) == b""
         else:
-            head, body = await peer.whole()
+            head, body = await peer.read_message()
             text = f"{head.status_code} {body.decode()} {head.headers!r}"
             assert head.status_code == int(words[0]) and all(word in text for word in words), text
             if peer.http.our_state is h11.DONE and peer.http.their_state is h11.DONE:
@@ -247,7 +247,7 @@
         elif verb == "send" and words[1].isdecimal():
             headers = [tuple(pair.split("=", 1)) for pair in words[2:]]
             del self.requests[key]
-            await self.say(peer, int(words[1]), b"", headers)
+            await self.respond(peer, int(words[1]), b"", headers)
         elif verb == "send":
             request_id, state, *rest = words
             line = {"id": request_id, "from": name, "state": state}
@@ -307,11 +307,11 @@
             peer = Peer(theirs, h11.CLIENT)
             asked = h11.Request(method="GET", target="/up", headers=[("Host", "x")])
             await peer.stream.send_all(peer.http.send(asked) + peer.http.send(h11.EndOfMessage()))
-            head, _ = await peer.whole()
+            head, _ = await peer.read_message()
             await peer.stream.aclose()
             assert head.status_code == {"yes": 200, "no": 503}[words[0]], head
             return
-        why = self.service.tell(Told(verb))
+        why = self.service.tell(ProcessEvent(verb))
         assert (why or "") == " ".join(words), why
         if verb == "stop":
             listener = types.SimpleNamespace(aclose=trio.lowlevel.checkpoint)
@@ -351,9 +351,11 @@
             want = LIVES[words[0]]
             await self.until(lambda: self.cluster.lifecycle(verb) is want)
             workers = self.dispatcher.workers
-            await self.until(lambda: (verb in workers and workers[verb].list_ok) is (words[0] == "active"))
+            await self.until(lambda: (verb in workers and workers[verb].in_service) is (words[0] == "active"))
         elif who == "born":
-            assert self.dispatcher.workers[verb].born == float(words[0]), self.dispatcher.workers[verb].born
+            assert self.dispatcher.workers[verb].started_at == float(words[0]), self.dispatcher.workers[
+                verb
+            ].started_at
         elif who == "d":
             await self.discovery(verb, words)
         elif who.startswith("w"):
@@ -367,7 +369,7 @@
         return []
 
     def break_once(self, now, event):
-        self.dispatcher.handle, self.dispatcher.out = self.whole, []
+        self.dispatcher.handle, self.dispatcher.actions = self.whole, []
         raise RuntimeError("broken by the scenario")
 
 
--- a/tests/system/test_configuration.py
+++ b/tests/system/test_configuration.py
@@ -1,11 +1,11 @@
-"""The operator's configuration: which changes are taken, what can be used."""
+"""The operator configuration: which changes are accepted, and which configurations are valid."""
 
 import pytest
 
-from molespur.system.errors import ANSWERS, ErrorKind, FleetError
+from molespur.system.errors import ERROR_RESPONSES, ErrorKind, FleetError
 from molespur.system.rpc import molespur_pb2 as pb
 from molespur.system.settings import configuration
-from molespur.system.shards.configuration import ConfigurationMachine, PutOutcome
+from molespur.system.shards.configuration import ConfigurationStateMachine, PutOutcome
 
 
 def change(version, base, body=b""):
@@ -16,30 +16,30 @@
     ).SerializeToString()
 
 
-def test_of_two_changes_on_one_version_one_wins():
-    machine = ConfigurationMachine()
-    assert machine.apply(change(1, 0))[0] is PutOutcome.TAKEN
-    assert machine.apply(change(5, 1, b"a"))[0] is PutOutcome.TAKEN
+def test_of_two_changes_with_the_same_base_version_one_is_accepted():
+    machine = ConfigurationStateMachine()
+    assert machine.apply(change(1, 0))[0] is PutOutcome.ACCEPTED
+    assert machine.apply(change(5, 1, b"a"))[0] is PutOutcome.ACCEPTED
     assert machine.apply(change(5, 1, b"b"))[0] is PutOutcome.MISMATCH
     assert machine.apply(change(7, 1))[0] is PutOutcome.MISMATCH
     assert (machine.version, machine.body) == (5, b"a")
 
 
-def test_a_change_that_was_taken_is_never_refused():
-    machine = ConfigurationMachine()
+def test_an_accepted_change_is_never_refused():
+    machine = ConfigurationStateMachine()
     for version, base in ((1, 0), (3, 1), (4, 3)):
         machine.apply(change(version, base))
-    copy = ConfigurationMachine()
+    copy = ConfigurationStateMachine()
     copy.restore(machine.snapshot())
     for known in (machine, copy):
         assert [known.apply(change(v, b)) for v, b in ((1, 0), (3, 1), (4, 3))] == [
-            (PutOutcome.TAKEN, None)
+            (PutOutcome.ACCEPTED, None)
         ] * 3
         assert known.version == 4
 
 
 def test_a_version_must_be_newer():
-    machine = ConfigurationMachine()
+    machine = ConfigurationStateMachine()
     machine.apply(change(4, 0))
     assert machine.apply(change(4, 4, b"x"))[0] is PutOutcome.NOT_NEWER
     assert machine.apply(change(3, 4))[0] is PutOutcome.NOT_NEWER
@@ -77,14 +77,14 @@
         ),
     ],
 )
-def test_a_configuration_that_cannot_be_used_is_refused_in_one_line(body, kind, field):
-    with pytest.raises(FleetError) as problem:
+def test_an_invalid_configuration_is_refused_with_a_one_line_message(body, kind, field):
+    with pytest.raises(FleetError) as raised:
         configuration.parse(body.encode())
-    assert problem.value.kind is kind and field in problem.value.detail and "\n" not in problem.value.detail
-    assert 400 <= ANSWERS[kind].status < 500
+    assert raised.value.kind is kind and field in raised.value.detail and "\n" not in raised.value.detail
+    assert 400 <= ERROR_RESPONSES[kind].status < 500
 
 
-def test_unknown_keys_are_passed_over():
+def test_unknown_keys_are_ignored():
     known = configuration.parse(
         b'{"Version":2,"New":1,"Services":[{"Name":"s","Tls":false,"Engine":{"stride":9}}]}'
     )
--- a/tests/system/test_exchange.py
+++ b/tests/system/test_exchange.py
@@ -12,7 +12,7 @@
 from molespur.system.data_plane.exchange import Exchange
 from molespur.system.data_plane.exchange_messages import Failure, HedgeRefusal, State
 from molespur.system.data_plane.hedging import HedgeGate
-from molespur.system.errors import ANSWERS, ErrorKind
+from molespur.system.errors import ERROR_RESPONSES, ErrorKind
 from molespur.system.settings.configuration import Route
 
 ENGINE = EngineShape(18_432.0, 500_000.0, 400_000.0)
@@ -109,7 +109,7 @@
     request = exchange(pair=False)
     begin(request)
     assert_error(fail(request, 10, Failure.MAY_HAVE_RUN), ErrorKind.MAY_HAVE_RUN)
-    assert not ANSWERS[ErrorKind.MAY_HAVE_RUN].promises_not_run
+    assert not ERROR_RESPONSES[ErrorKind.MAY_HAVE_RUN].guarantees_not_run
 
 
 def test_a_repeatable_request_is_repeated_up_to_its_routes_attempts():
@@ -124,7 +124,7 @@
     request = exchange(pair=False, budget=0)
     begin(request)
     assert_error(fail(request, 10, Failure.REJECTED), ErrorKind.REJECTED)
-    assert ANSWERS[ErrorKind.REJECTED].promises_not_run
+    assert ERROR_RESPONSES[ErrorKind.REJECTED].guarantees_not_run
 
 
 def test_a_failed_connection_costs_no_budget():
@@ -188,8 +188,8 @@
     assert_error(begin(request), ErrorKind.NO_WORKER)
     request = exchange()
     assert_error(begin(request, 2990), ErrorKind.OUT_OF_TIME_UNSENT)
-    assert ANSWERS[ErrorKind.NO_WORKER].promises_not_run
-    assert ANSWERS[ErrorKind.OUT_OF_TIME_UNSENT].promises_not_run
+    assert ERROR_RESPONSES[ErrorKind.NO_WORKER].guarantees_not_run
+    assert ERROR_RESPONSES[ErrorKind.OUT_OF_TIME_UNSENT].guarantees_not_run
 
 
 def test_a_hopeless_request_is_refused_at_once():
@@ -217,7 +217,7 @@
         may_have_run |= failure is Failure.MAY_HAVE_RUN
         action = fail(request, 20, failure)
     if isinstance(action, machine.RespondWithError):
-        assert not (may_have_run and ANSWERS[action.kind].promises_not_run)
+        assert not (may_have_run and ERROR_RESPONSES[action.kind].guarantees_not_run)
     else:
         assert not may_have_run, "a request that may not be repeated was sent again"
 
@@ -439,7 +439,7 @@
         match self.final:
             case machine.RespondWithError(kind):
                 assert self.progressed is None, "an error response after a part of a worker's response"
-                assert not (self.ran and ANSWERS[kind].promises_not_run)
+                assert not (self.ran and ERROR_RESPONSES[kind].guarantees_not_run)
             case machine.AbortResponse():
                 assert self.progressed is not None
             case machine.Finish():
--- a/tests/system/wrong_process.py
+++ b/tests/system/wrong_process.py
@@ -44,7 +44,7 @@
 
 
 def promises() -> None:
-    errors.ANSWERS[errors.ErrorKind.MAY_HAVE_RUN] = errors.ANSWERS[errors.ErrorKind.REJECTED]
+    errors.ERROR_RESPONSES[errors.ErrorKind.MAY_HAVE_RUN] = errors.ERROR_RESPONSES[errors.ErrorKind.REJECTED]
 
 
 def answers_others() -> None:
@@ -105,14 +105,14 @@
 
 
 def takes_any_base() -> None:
-    apply = configuration.ConfigurationMachine.apply
+    apply = configuration.ConfigurationStateMachine.apply
 
     def wrong(self, data):
         command = pb.PutConfiguration.FromString(data)
         command.base_version = self.version
         return apply(self, command.SerializeToString())
 
-    configuration.ConfigurationMachine.apply = wrong
+    configuration.ConfigurationStateMachine.apply = wrong
 
 
 def reads_without_asking() -> None:
@@ -120,7 +120,7 @@
         return None
 
     async def wrong(self):
-        machine = self.host.groups[CONFIGURATION].machine
+        machine = self.host.groups[CONFIGURATION].state_machine
         return machine.body if machine.version else None
 
     calls.ControlCalls.configuration_owner = owner
@@ -147,8 +147,8 @@
     propose, numbers = host.ReplicaHost.propose, count(1)
 
     async def wrong(self, name, data):
-        if name == CONFIGURATION and self.leads(name) and next(numbers) > FORGETS_AFTER:
-            return PutOutcome.TAKEN
+        if name == CONFIGURATION and self.is_leader(name) and next(numbers) > FORGETS_AFTER:
+            return PutOutcome.ACCEPTED
         return await propose(self, name, data)
 
     host.ReplicaHost.propose = wrong
@@ -206,9 +206,9 @@
 
     def often(self, now, workers, load):
         ready = [worker for worker in workers if worker.state == pb.READY]
-        if not ready or now - self.turned_at < 1500.0:
+        if not ready or now - self.last_order_at < 1500.0:
             return plan(self, now, workers, load)
-        self.turned_at = now
+        self.last_order_at = now
         worker = ready[int(now) % len(ready)]
         return phases.PhaseOrder(worker, "decode" if worker.phase == "prefill" else "prefill")
 
--- a/tests/test_stream_machine.py
+++ b/tests/test_stream_machine.py
@@ -9,8 +9,8 @@
 
 from molespur import Dispatcher, Settings
 from molespur import interface as io
-from molespur.interface import Lifecycle, NewsMode
-from molespur.lifecycle import Process, Told
+from molespur.interface import Lifecycle, UpdateMode
+from molespur.lifecycle import ProcessEvent, ProcessLifecycle
 from molespur.net.counters import Counters
 from molespur.net.failure import Cause, Failure, Served, Stage
 from molespur.net.host import Arrival, Host
@@ -114,7 +114,7 @@
         self.host.connect(self.upstream, self)
         self.host.deliver(io.Started())
         entries = tuple(entry(name) for name in self.lives)
-        self.host.deliver(io.FleetNews(NewsMode.COMPLETE, entries))
+        self.host.deliver(io.FleetUpdate(UpdateMode.COMPLETE, entries))
 
     # the cluster, as the host asks it
     def lifecycle(self, worker):
@@ -168,7 +168,7 @@
     @rule(worker=st.sampled_from(["w0", "w1", "w2"]), life=st.sampled_from(list(Lifecycle)))
     def tell(self, worker, life):
         self.lives[worker] = life
-        self.host.deliver(io.FleetNews(NewsMode.PARTIAL, (entry(worker, life=life),)))
+        self.host.deliver(io.FleetUpdate(UpdateMode.PARTIAL, (entry(worker, life=life),)))
 
     @rule(classes=st.sets(st.sampled_from(range(len(CLASSES))), min_size=1), attempts=st.integers(1, 4))
     def reload(self, classes, attempts):
@@ -203,16 +203,16 @@
 
     def __init__(self):
         super().__init__()
-        self.process, self.now, self.before = Process(), 0.0, None
+        self.process, self.now, self.before = ProcessLifecycle(), 0.0, None
 
-    @rule(told=st.sampled_from(list(Told)), longest=st.sampled_from([500.0, 2200.0, 6000.0]))
+    @rule(told=st.sampled_from(list(ProcessEvent)), longest=st.sampled_from([500.0, 2200.0, 6000.0]))
     def tell(self, told, longest):
-        self.process.longest_ms = longest
-        if told is Told.STOP and self.process.stopped is None:
+        self.process.max_deadline_ms = longest
+        if told is ProcessEvent.STOP and self.process.stopping_since is None:
             self.longest = longest
-        why = self.process.tell(self.now, told)
+        why = self.process.handle(self.now, told)
         assert (why is not None) == (
-            self.process.stopped is not None and told in (Told.EVACUATE, Told.ACTIVATE)
+            self.process.stopping_since is not None and told in (ProcessEvent.EVACUATE, ProcessEvent.ACTIVATE)
         )
 
     @rule(ms=st.sampled_from([1.0, 99.0, 500.0, 2500.0]))
@@ -221,19 +221,19 @@
 
     @invariant()
     def holds(self):
-        stance, before = self.process.stance(self.now), self.before
-        assert stance.until > self.now
+        stance, before = self.process.serving_state(self.now), self.before
+        assert stance.changes_at > self.now
         assert not (stance.up and not stance.accepting)
         assert stance.accepting or stance.closing  # who is not taken on is not kept either
         assert not stance.ended or not stance.accepting
         if before is not None:
             assert not before.ended or stance.ended
             assert before.accepting or not stance.accepting  # a listener that was left stays left
-        if self.process.stopped is not None:
+        if self.process.stopping_since is not None:
             # SIGKILL follows the longest deadline, 3 s at most, by 0.7 s: all is answered 0.3 s before it, by
             # the deadlines as SIGTERM came, however the settings change after it
             assert self.process._stop_ms == min(self.longest, 3000.0) + 400.0
-            assert stance.ended == (self.now >= self.process.stopped + self.process._stop_ms)
+            assert stance.ended == (self.now >= self.process.stopping_since + self.process._stop_ms)
         self.before = stance
 
 
