--- a/molespur/net/host.py
+++ b/molespur/net/host.py
@@ -1,7 +1,8 @@
-"""Owns the decision module, the streams and the clock: events in, actions carried out.
+"""Runs the decision module: feeds it events and executes the actions it returns.
 
-Nothing here knows of HTTP.  A protocol hands in an Arrival with a way to answer it, and another carries
-its payload to upstream hosts, so a second protocol would go through the same decisions and checks.
+Nothing here depends on HTTP.  The downstream protocol submits an Arrival with a callback for its response,
+and the upstream protocol sends the payload to upstream hosts.  Another protocol would use the same decisions
+and checks.
 """
 
 from collections import deque
@@ -15,27 +16,27 @@
 from .failure import Cause, Failure, Served, Stage
 
 log = logs.get(__name__)
-BACKSTOP_MS = 20.0  # past the deadline; within the rule's slack, after the module's own last word
+OVERDUE_MARGIN_MS = 20.0  # past the deadline: later than the module's own response, within the allowed slack
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Final answer: turned away, trying again after the pause is harmless."""
+    """Final response: the job was rejected without an effect; the client may retry after the pause."""
 
     pause_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """Final answer: failed, with no promise about its effect."""
+    """Final response: the job failed and may have had an effect."""
 
 
-Answer = Served | Refused | Failed
+FinalResponse = Served | Refused | Failed
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """What a downstream hands in for one stream; the payload is for the upstream side alone."""
+    """A client's request as the downstream submits it.  Only the upstream side reads the payload."""
 
     job_class: str
     time_left_ms: float
@@ -45,125 +46,130 @@
     key: int | None = None
     work_hint_ms: float | None = None
     tenant: str | None = None
-    job: str = ""  # names the client's job, the same at each of its tries, where the client says so
+    job: str = ""  # the client's idempotency key, the same for each of its retries; empty if it sent none
 
 
 class Stream:
-    """One request of a client: owed exactly one final answer, tried by upstream requests."""
+    """One client request.  It gets exactly one final response and is attempted by upstream requests."""
 
     __slots__ = (
-        "answer", "arrival", "attempts", "backstop", "deadline", "draw", "last", "most", "number", "out",
-        "over", "since",
+        "arrival", "attempts", "closed", "deadline", "draw", "in_flight", "last_outcome",
+        "max_attempts", "number", "overdue_timer", "respond", "since",
     )  # fmt: skip
 
     def __init__(
-        self, number: int, deadline: float, most: int, arrival: Arrival, answer: Callable[[Answer], None]
+        self,
+        number: int,
+        deadline: float,
+        max_attempts: int,
+        arrival: Arrival,
+        respond: Callable[[FinalResponse], None],
     ):
-        self.most = most  # upstream requests, by the settings under which it was taken
+        self.max_attempts = max_attempts  # from the settings in force when the stream was accepted
         self.arrival, self.since, self.draw = arrival, deadline - arrival.time_left_ms, 1.0
-        self.last: Outcome | None = None  # of its upstream requests that were sent, that which ended last
-        self.number, self.deadline, self.answer = number, deadline, answer
-        self.attempts = []  # upstream requests in the order of their Send; None where none was made
-        self.out, self.over, self.backstop = 0, False, None
+        self.last_outcome: Outcome | None = None  # of the sent upstream request that ended last
+        self.number, self.deadline, self.respond = number, deadline, respond
+        self.attempts = []  # upstream requests in the order of their Send; None for one that was not started
+        self.in_flight, self.closed, self.overdue_timer = 0, False, None
 
 
 class Host:
-    """Feeds the decision module and does what it says."""
+    """Delivers events to the decision module and executes its actions."""
 
     def __init__(self, dispatcher, clock, wheel, counters, settings, max_streams):
         self.dispatcher, self.clock, self.wheel, self.counters = dispatcher, clock, wheel, counters
         self.max_streams = max_streams
-        self._owns(settings)
+        self._use_settings(settings)
         self.upstream = self.cluster = None  # set by connect
         self.streams: dict[int, Stream] = {}
-        self.open = 0  # streams still owed an answer
-        self.finished = False  # no stream is begun any more: the program is about to end
-        self._next = 1
-        self._events, self._busy = deque(), False
-        # for state that schedulers share (fleet/uses.py); None where they share none
+        self.open = 0  # streams that have no final response yet
+        self.finished = False  # no new stream is accepted: the process is about to exit
+        self._next_number = 1
+        self._queue, self._handling = deque(), False
+        # Hooks for the state that schedulers share (fleet/uses.py); None without shared state.
         self.observe: Callable[[str, str, Outcome, float], None] | None = None
         self.sending: Callable[[str, bool], None] | None = None  # worker, whether it is a retry
-        self.answered: Callable[[Stream, Answer], None] | None = None
+        self.answered: Callable[[Stream, FinalResponse], None] | None = None
         self.probed: Callable[[str, dict[str, float]], None] | None = None
-        self.draw: Callable[[str], float] | None = None  # of a job's name, from 0 to 1
-        self.pause: Callable[[float], float] | None = None  # what a refused client is told
+        self.draw: Callable[[str], float] | None = None  # a number from 0 to 1 for an idempotency key
+        self.pause: Callable[[float], float] | None = None  # the pause that is sent to a refused client
         self.cold_use: Callable[[io.ColdUse], None] | None = None
         self.freshen: Callable[[], None] | None = None
-        self.fresh_until = float("inf")  # what the schedulers share is to be looked at anew from then on
-        self._carry = {
+        self.fresh_until = float("inf")  # from this time on the shared state must be read again before use
+        self._handlers = {
             io.Send: self._send, io.Cancel: self._cancel, io.Refuse: self._refuse, io.Fail: self._fail,
             io.SetTimer: self._set_timer, io.Watch: self._watch, io.Probe: self._probe,
             io.ColdUse: lambda action: self.cold_use(action),
         }  # fmt: skip
 
     def connect(self, upstream, cluster) -> None:
-        """Join the two sides that actions go out to."""
+        """Set the upstream side and the cluster, which execute the actions."""
         self.upstream, self.cluster = upstream, cluster
 
-    def _owns(self, settings: io.Settings) -> None:
+    def _use_settings(self, settings: io.Settings) -> None:
         self.settings, self.classes = settings, {c.name: c for c in settings.classes}
 
     def retune(self, settings: io.Settings) -> None:
-        """Other settings hold from now on, here, in the module and at the intake, which reads them here.
+        """Apply new settings here, in the decision module and in the request checks, which read them here.
 
-        Streams that are open keep the class and the number of upstream requests they were taken under.
+        Open streams keep the class and the maximum of upstream requests with which they were accepted.
         """
         if settings != self.settings:
-            self._owns(settings)
+            self._use_settings(settings)
             self.deliver(io.Retuned(settings))
 
-    # -- Events in -------------------------------------------------------------------------------
+    # -- Incoming events ---------------------------------------------------------------------------
 
     def deliver(self, event: io.Event) -> None:
-        """Give the module an event and carry out its actions.
+        """Deliver an event to the decision module and execute its actions.
 
-        What an action sets off at once waits its turn: the module is never entered while it or its
-        actions are under way, and events reach it in the order in which they happened.
+        Events that arise while an action is executed are queued.  The module is never called while it or its
+        actions are running, and it receives events in the order in which they happened.
         """
-        if self.freshen is not None and not self._busy and self.clock.now() >= self.fresh_until:
-            # guards against a process that was held (stopped, starved) going on with rights that are over
+        if self.freshen is not None and not self._handling and self.clock.now() >= self.fresh_until:
+            # A process that was suspended or got no CPU must not use shares and budgets that have expired.
             self.fresh_until = float("inf")
             self.freshen()
-        self._events.append(event)
-        if self._busy:
+        self._queue.append(event)
+        if self._handling:
             return
-        self._busy = True
+        self._handling = True
         try:
-            while self._events:
-                self._handle(self._events.popleft())
+            while self._queue:
+                self._handle(self._queue.popleft())
         finally:
-            self._busy = False
+            self._handling = False
 
     def _handle(self, event) -> None:
         failed = False
         try:
             actions = self.dispatcher.handle(self.clock.now(), event)
         except Exception:
-            # guards against one bad event taking the scheduler, and so all other streams, down
+            # An event that the module cannot handle must not end the scheduler and with it all other streams.
             log.exception("module.failed", on=repr(event))
             self.counters["module.exceptions"] += 1
-            actions, failed = list(self.dispatcher.out), True  # it has booked these as done
+            actions, failed = list(self.dispatcher.out), True  # the module has recorded these as executed
         for action in actions:
-            self._carry[type(action)](action)
+            self._handlers[type(action)](action)
         stream = self.streams.get(getattr(event, "request", None))
-        if failed and stream is not None and not stream.over and not stream.out:
+        if failed and stream is not None and not stream.closed and not stream.in_flight:
             self._finish(stream, Failed())
 
-    def take(self, arrival: Arrival, answer: Callable[[Answer], None]) -> Stream | None:
-        """Take a stream in; its answer may come before this returns.  None if too many are open."""
+    def take(self, arrival: Arrival, respond: Callable[[FinalResponse], None]) -> Stream | None:
+        """Accept a stream; its final response may come before this returns.  None if too many are open."""
         self.counters["in.streams"] += 1
         if self.open >= self.max_streams or self.finished:
-            # at the end guards against a stream that begins after all others were answered, to be cut off
+            # Once `finished` is set, a new stream would be cut off by the exit of the process.
             self.counters["in.turned_away"] += 1
-            answer(Refused(self.settings.pause_ms))
+            respond(Refused(self.settings.pause_ms))
             return None
         deadline = self.clock.now() + arrival.time_left_ms
-        stream = Stream(self._next, deadline, self.settings.max_attempts, arrival, answer)
-        self._next += 1
+        stream = Stream(self._next_number, deadline, self.settings.max_attempts, arrival, respond)
+        self._next_number += 1
         self.open += 1
         self.streams[stream.number] = stream
-        late = arrival.time_left_ms + BACKSTOP_MS
-        stream.backstop = self.wheel.after(late, self._overdue, stream)
+        overdue_in_ms = arrival.time_left_ms + OVERDUE_MARGIN_MS
+        stream.overdue_timer = self.wheel.after(overdue_in_ms, self._fail_overdue, stream)
         if self.draw is not None:
             stream.draw = self.draw(arrival.job)
         event = io.Submitted(
@@ -174,67 +180,67 @@
         return stream
 
     def client_gone(self, stream: Stream) -> None:
-        """The client has left before its answer; nothing more is owed."""
-        if stream.over:
+        """Close a stream whose client disconnected before its response."""
+        if stream.closed:
             return
         self.counters["answered.client_gone"] += 1
         self._close(stream)
         self.deliver(io.ClientGone(stream.number))
-        self._forget(stream)
+        self._remove_if_done(stream)
 
-    def _overdue(self, stream: Stream) -> None:
-        """Guards rule 1 where the module, for whatever reason, has left a stream without an answer."""
-        if stream.over:
+    def _fail_overdue(self, stream: Stream) -> None:
+        """Fail a stream that the module left without a response, so that each stream gets one."""
+        if stream.closed:
             return
         log.error("answered.overdue", stream=stream.number)
         self.counters["answered.overdue"] += 1
         self._finish(stream, Failed())
         self.deliver(io.ClientGone(stream.number))
-        self._forget(stream)
+        self._remove_if_done(stream)
 
     def progressed(self, stream: Stream, number: int, share: float | None) -> None:
-        """An upstream host tells that an upstream request has started, or how much of it is done."""
-        if not stream.over:
+        """An upstream host reports that a job has started, or which share of it is done."""
+        if not stream.closed:
             self.deliver(io.Progressed(stream.number, number, share))
 
     def ended(self, stream: Stream, number: int, elapsed_ms: float, result: Served | Failure) -> None:
-        """The one outcome of an upstream request."""
+        """Record the outcome of an upstream request, which it reports once."""
         self.counters[f"sent.{result.outcome.name.lower()}"] += 1
         if result.outcome is not Outcome.MOOT:
-            stream.last = result.outcome
-        stream.out -= 1
-        if isinstance(result, Served) and not stream.over:
+            stream.last_outcome = result.outcome
+        stream.in_flight -= 1
+        if isinstance(result, Served) and not stream.closed:
             self._finish(stream, result)
         self.deliver(
-            io.AttemptEnded(stream.number, number, result.outcome, elapsed_ms, stream.over, result.report)
+            io.AttemptEnded(stream.number, number, result.outcome, elapsed_ms, stream.closed, result.report)
         )
-        self._forget(stream)
+        self._remove_if_done(stream)
 
-    # -- Actions out -----------------------------------------------------------------------------
+    # -- Actions -----------------------------------------------------------------------------------
 
     def _send(self, action: io.Send) -> None:
         stream = self.streams.get(action.request)
-        if stream is None or stream.over:
-            # guards rule 1: nothing is sent for a stream that has its answer
+        if stream is None or stream.closed:
+            # Nothing is sent for a stream that has its final response.
             self.counters["module.sends_after_end"] += 1
             return
         number, now = len(stream.attempts), self.clock.now()
-        left = stream.deadline - now
-        stream.out += 1
+        left_ms = stream.deadline - now
+        stream.in_flight += 1
         self.counters["sent.requests"] += 1
-        life = self.cluster.lifecycle(action.worker)
-        why = None
-        if number >= stream.most:
-            why = "too many upstream requests for one stream"
-        elif left <= 0:
-            why = "the client's time is up"
-        elif life is not Lifecycle.IN_SERVICE:
-            why = "the upstream host is not in service"  # guards rule 3
-        if why is not None:
+        lifecycle = self.cluster.lifecycle(action.worker)
+        reason = None
+        if number >= stream.max_attempts:
+            reason = "too many upstream requests for one stream"
+        elif left_ms <= 0:
+            reason = "client deadline has passed"
+        elif lifecycle is not Lifecycle.IN_SERVICE:
+            reason = "upstream host is not in service"
+        if reason is not None:
             stream.attempts.append(None)
-            self.ended(stream, number, 0.0, Failure(Stage.CONNECTING, Cause.NOT_SENT, why))
+            self.ended(stream, number, 0.0, Failure(Stage.CONNECTING, Cause.NOT_SENT, reason))
             return
-        limit = min(action.timeout_ms, left) if action.timeout_ms else left
+        timeout_ms = min(action.timeout_ms, left_ms) if action.timeout_ms else left_ms
 
         def ended(result):
             timer.cancel()
@@ -246,28 +252,28 @@
             self.progressed(stream, number, share)
 
         if self.sending is not None:
-            self.sending(action.worker, stream.last is not None)
-        if stream.last is not None:
-            self.counters[f"retries.after_{stream.last.name.lower()}"] += 1
-        until = now + limit
+            self.sending(action.worker, stream.last_outcome is not None)
+        if stream.last_outcome is not None:
+            self.counters[f"retries.after_{stream.last_outcome.name.lower()}"] += 1
+        until = now + timeout_ms
         begin_by = min(until, action.begin_by_ms)
         payload = stream.arrival.payload
         request = self.upstream.send(action.worker, payload, until, begin_by, ended, progressed)
         stream.attempts.append(request)
-        timer = self.wheel.after(limit, request.abandon, Cause.TIMED_OUT)
+        timer = self.wheel.after(timeout_ms, request.abandon, Cause.TIMED_OUT)
 
     def _cancel(self, action: io.Cancel) -> None:
         stream = self.streams.get(action.request)
-        known = stream.attempts[action.attempt : action.attempt + 1] if stream else ()
-        if known and known[0] is not None:
-            known[0].abandon(Cause.CANCELLED)
+        attempts = stream.attempts[action.attempt : action.attempt + 1] if stream else ()
+        if attempts and attempts[0] is not None:
+            attempts[0].abandon(Cause.CANCELLED)
 
     def _refuse(self, action: io.Refuse) -> None:
         pause_ms = action.pause_ms if self.pause is None else self.pause(action.pause_ms)
-        self._answer(action.request, Refused(pause_ms))
+        self._respond(action.request, Refused(pause_ms))
 
     def _fail(self, action: io.Fail) -> None:
-        self._answer(action.request, Failed())
+        self._respond(action.request, Failed())
 
     def _set_timer(self, action: io.SetTimer) -> None:
         self.wheel.after(action.delay_ms, self.deliver, io.TimerFired(action.tag))
@@ -278,7 +284,7 @@
 
     def _probe(self, action: io.Probe) -> None:
         if not self.upstream.keeping:
-            # a process that hands over sends nothing new: each probe would cost a connection of its own
+            # During a handover no connections are kept, so each probe would open a connection of its own.
             self.counters["probes.spared"] += 1
             return
         self.counters["sent.probes"] += 1
@@ -293,44 +299,44 @@
         self.upstream.probe(action.worker, ended)
 
     def end_all(self) -> None:
-        """Answer all that is still open: the program is about to end.
+        """Send a final response for each open stream, before the process exits.
 
-        Guards against streams that are cut off unanswered when we are killed.
+        Otherwise these streams would be cut off without a response when the process is killed.
         """
         self.finished = True
-        for stream in [s for s in self.streams.values() if not s.over]:
+        for stream in [s for s in self.streams.values() if not s.closed]:
             self.counters["answered.at_the_end"] += 1
             self._finish(stream, Failed() if stream.attempts else Refused())
             self.deliver(io.ClientGone(stream.number))
-            self._forget(stream)
+            self._remove_if_done(stream)
 
-    # -- Ends ------------------------------------------------------------------------------------
+    # -- Completion --------------------------------------------------------------------------------
 
-    def _answer(self, number: int, answer: Answer) -> None:
+    def _respond(self, number: int, response: FinalResponse) -> None:
         stream = self.streams.get(number)
-        if stream is not None and not stream.over:
-            self._finish(stream, answer)
-            self._forget(stream)
+        if stream is not None and not stream.closed:
+            self._finish(stream, response)
+            self._remove_if_done(stream)
 
-    def _finish(self, stream: Stream, answer: Answer) -> None:
-        """Give the one final answer."""
-        self.counters[f"answered.{type(answer).__name__.lower()}"] += 1
+    def _finish(self, stream: Stream, response: FinalResponse) -> None:
+        """Send the stream's only final response."""
+        self.counters[f"answered.{type(response).__name__.lower()}"] += 1
         self._close(stream)
         if self.answered is not None:
-            self.answered(stream, answer)
-        stream.answer(answer)
+            self.answered(stream, response)
+        stream.respond(response)
 
     def _close(self, stream: Stream) -> None:
-        stream.over = True
+        stream.closed = True
         self.open -= 1
-        stream.backstop.cancel()
+        stream.overdue_timer.cancel()
         for request in stream.attempts:
             if request is not None:
-                # guards against one that waits for its connection being sent once it comes up, for nobody;
-                # this is no calling off, so it does not ask whether the settings allow that
+                # A request that still waits for its connection must not be sent for a closed stream.  This is
+                # not a cancellation, so it does not depend on the settings' permission to cancel.
                 request.withdraw()
 
-    def _forget(self, stream: Stream) -> None:
-        """Drop a stream once it is answered and all its upstream requests are in."""
-        if stream.over and not stream.out:
+    def _remove_if_done(self, stream: Stream) -> None:
+        """Remove a stream that has its final response and no upstream request in flight."""
+        if stream.closed and not stream.in_flight:
             self.streams.pop(stream.number, None)
