--- a/molespur/net/downstream.py
+++ b/molespur/net/downstream.py
@@ -13,7 +13,7 @@
 from .host import Arrival, Failed, Refused
 from .intake import BODY_MOST, Rejection, check_framing, check_request, class_of
 from .listening import next_connection
-from .upstream import BREAKS, has_come, is_quiet
+from .upstream import BREAKS, is_quiet, is_readable
 
 log = logs.get(__name__)
 AHEAD_MOST = 128 * 1024  # kept of what a client sends while its answer is awaited; more is thrown away
@@ -114,7 +114,7 @@
                     # guards against a crowd that waits in the listener's queue for others to linger
                     self._make_room()
                     await self._a_link_less()
-                if not has_come(listener.socket):
+                if not is_readable(listener.socket):
                     self._queued_since = None
                 stream = await next_connection(listener, "in.accept_failed")
                 if self._queued_since is None:
@@ -131,7 +131,7 @@
 
     async def take_rest(self, listener) -> None:
         """Take in what stands in the listener's queue, which its close would reset."""
-        while self._nursery and len(self.links) < self.most + OVERFLOW and has_come(listener.socket):
+        while self._nursery and len(self.links) < self.most + OVERFLOW and is_readable(listener.socket):
             try:
                 with self.wheel.limit(REST_MS):
                     self._nursery.start_soon(self.serve, await listener.accept())
--- a/molespur/net/upstream.py
+++ b/molespur/net/upstream.py
@@ -16,28 +16,33 @@
 from .failure import Cause, Failure, Served, Stage
 
 log = logs.get(__name__)
-LINE_MOST = 64 * 1024  # no body is larger, so no line is
-TAIL_MS = 500.0  # for the rest of an answer whose last line is in, before its connection is closed instead
-# A connection rests so long after an answer that names no request (a refusal, an error): a second one that
-# comes some milliseconds late would pass for the answer to the next request, and say of it that it never ran.
-REST_MS = 50.0
-PROBE_MS = 200.0  # a probe is answered beside the queue: one that takes longer tells nothing
-# of the idle time held to be safe, at a break and at each use that went well
-STALE_CUT, FRESH_GAIN = 0.8, 1.05
-USABLE_LEAST_MS = 50.0  # so short a rest says nothing
-IDLE_SHARE = 0.8  # of the idle limit: a request that crosses an upstream host's own close may have run
-WAITING_EACH = 4  # requests that may wait for each connection, where the fleet's budget allows no more
+MAX_LINE_BYTES = 64 * 1024  # the size limit of a body
+RESPONSE_TAIL_TIMEOUT_MS = (
+    500.0  # for the rest of a response after its last line; then the connection is closed
+)
+# Delay before a connection is used again after a response that names no request (a refusal or an error).  A
+# duplicate of it that arrives some milliseconds late would be read as the response to the next request, and
+# would claim that this request never ran.
+REUSE_DELAY_MS = 50.0
+PROBE_TIMEOUT_MS = 200.0  # workers answer probes without queueing, so a slower response tells nothing
+# Factors for the safe idle time: after a broken connection, and after each successful reuse.
+STALE_FACTOR, REUSED_FACTOR = 0.8, 1.05
+MIN_USABLE_IDLE_MS = 50.0  # a break after a shorter idle time says nothing about idle limits
+# Of the configured idle timeout.  A request that is sent while the upstream host closes the connection may
+# have run.
+USABLE_IDLE_SHARE = 0.8
+MAX_WAITERS_PER_CONNECTION = 4  # requests that wait when the fleet's budget allows no more connections
 DONE, FAILED, RETURNED, LOST = "done", "failed", "returned", "lost"
 HOP_BY_HOP = frozenset(
     b"connection host keep-alive proxy-connection te trailer transfer-encoding upgrade".split()
 )
-OURS_TO_SAY = frozenset({b"content-length", b"expect", b"x-timeout-ms"})
+OVERWRITTEN_HEADERS = frozenset({b"content-length", b"expect", b"x-timeout-ms"})
 BREAKS = (OSError, trio.BrokenResourceError, trio.ClosedResourceError)
 
 
 @dataclass(frozen=True, slots=True)
 class Payload:
-    """What of a client's HTTP request passes through to upstream hosts."""
+    """The parts of a client's HTTP request that are forwarded to upstream hosts."""
 
     request_id: str
     method: bytes
@@ -47,12 +52,12 @@
 
 
 class _Line(msgspec.Struct):
-    """One line of an upstream host's answer."""
+    """One line of an upstream host's response."""
 
     id: str
     state: str
     share: float | None = None
-    result: msgspec.Raw = msgspec.Raw()  # empty: there is none
+    result: msgspec.Raw = msgspec.Raw()  # empty if the line has no result
     load: dict | None = None
 
 
@@ -60,7 +65,7 @@
 
 
 async def dial_tcp(address: tuple[str, int]) -> trio.SocketStream:
-    """Open a connection to a numeric address: there is no DNS, and nothing is tried twice."""
+    """Open a connection to a numeric address, without DNS and without a second try."""
     sock = trio.socket.socket()
     try:
         sock.setsockopt(trio.socket.IPPROTO_TCP, trio.socket.TCP_NODELAY, 1)
@@ -72,84 +77,87 @@
 
 
 def is_quiet(stream) -> bool:
-    """Whether the other side of an idle connection has neither closed it nor sent anything."""
-    return not (isinstance(stream, trio.SocketStream) and has_come(stream.socket))
+    """Whether the peer of an idle connection has neither closed it nor sent anything."""
+    return not (isinstance(stream, trio.SocketStream) and is_readable(stream.socket))
 
 
 def close_now(stream) -> None:
-    """Close a stream's socket without waiting; whoever waits on it is told so."""
+    """Close a stream's socket without waiting.  A task that waits on it gets an exception."""
     if isinstance(stream, trio.SocketStream):
         stream.socket.close()
 
 
-def has_come(sock) -> bool:
-    """Whether there is something to read on a socket, or to take from one that listens."""
+def is_readable(sock) -> bool:
+    """Whether a socket has data to read, or a listening socket has a connection to accept."""
     poll = select.poll()
     poll.register(sock.fileno(), select.POLLIN)
     return bool(poll.poll(0))
 
 
 class Connection:
-    """One connection to an upstream host, carrying one exchange at a time."""
+    """One connection to an upstream host, with one exchange at a time."""
 
     def __init__(self, stream, host):
         self.stream, self.host = stream, host
         self.http = h11.Connection(h11.CLIENT)
-        self.idle_since = self.rests_until = 0.0
-        self.nameless = False  # its last answer said nothing that names a request
-        self.stood_ms: float | None = None  # how long it had been idle when it was taken up again
+        self.idle_since = self.unusable_until = 0.0
+        self.anonymous_response = False  # its last response names no request
+        self.idle_ms: float | None = None  # how long it was idle before its last reuse; None before the first
 
     async def next_event(self):
-        """The next part of the answer."""
+        """The next HTTP event of the response."""
         while (event := self.http.next_event()) is h11.NEED_DATA:
             data = await self.stream.receive_some(16384)
             if not data and self.http.their_state is h11.SEND_RESPONSE:
-                raise trio.BrokenResourceError("closed before an answer")
+                raise trio.BrokenResourceError("connection closed before a response")
             self.http.receive_data(data)
         if type(event) is h11.Response:
-            self.nameless = event.status_code != 200
+            self.anonymous_response = event.status_code != 200
         return event
 
 
 @dataclass(slots=True)
 class UpstreamHost:
-    """A records worker as this scheduler reaches it."""
+    """A worker as this scheduler connects to it."""
 
     uid: str
     address: tuple[str, int]
     started: float
-    idle: list[Connection] = field(default_factory=list)  # the latest used last, and used first
-    gone: bool = False  # replaced or restarted: what is still out ends, nothing is kept
-    wanted: bool = True  # it wants new work
-    open: int = 0  # connections to it, those being opened included
-    most: int | None = None  # connections that we may hold to it by the fleet's budget; None: no such bound
-    waiting: deque[trio.Event] = field(default_factory=deque)  # requests that wait for one of them
-
-    def wake(self, most: int) -> None:
-        """So many of those that wait for a connection look again whether there is one for them."""
-        for _ in range(min(most, len(self.waiting))):
+    idle: list[Connection] = field(default_factory=list)  # most recently used last; reused from the end
+    removed: bool = False  # delisted or restarted: requests in flight finish, no connection is kept
+    accepts_work: bool = True
+    open: int = 0  # connections to it, including those being opened
+    max_open: int | None = None  # limit on `open` by the fleet's budget; None without a budget
+    waiting: deque[trio.Event] = field(default_factory=deque)  # one for each request without a connection
+
+    def wake(self, max_count: int) -> None:
+        """Let up to max_count waiting requests check again for a free connection."""
+        for _ in range(min(max_count, len(self.waiting))):
             self.waiting.popleft().set()
 
 
 class UpstreamRequest:
-    """One attempt at a stream.  Its one outcome is told when it is known, not when the connection is done."""
+    """One attempt at a stream.
+
+    It reports one outcome, as soon as that is known, even if the exchange on its connection has not ended.
+    """
 
     def __init__(self, payload, until: float, begin_by: float, ended: Callable, progressed: Callable):
-        # clock times at which it is given up, and after which nothing of it is written any more
+        # Clock times: when it is abandoned, and from when on it may no longer be written.
         self.payload, self.until, self.begin_by = payload, until, begin_by
         self.progressed, self._ended = progressed, ended
-        self.stage, self.scope, self.heard = Stage.CONNECTING, trio.CancelScope(), False
-        self.stream = None  # that it is written to
+        self.stage, self.scope, self.job_started = Stage.CONNECTING, trio.CancelScope(), False
+        self.stream = None  # the connection's stream, once it is written
 
     @property
-    def over(self) -> bool:
+    def settled(self) -> bool:
         return self._ended is None
 
     def settle(self, result: Served | Failure) -> None:
-        """Tell the outcome, once."""
+        """Report the outcome.  Later calls have no effect."""
         if self._ended is not None:
             ended, self._ended = self._ended, None
-            # guards against a cycle of stream and request, which only a full collection would free
+            # Breaks the reference cycle of stream and request, which only a full collection would free.
             self.progressed = None
             ended(result)
 
@@ -157,98 +165,100 @@
         self.settle(Failure(self.stage, cause, detail, report))
 
     def withdraw(self) -> None:
-        """Its stream is over: if nothing of it is written yet, nothing will be."""
+        """Abandon the request, whose stream is closed, unless writing it has begun."""
         if self.stage is Stage.CONNECTING:
             self.abandon(Cause.NOT_SENT)
 
     def abandon(self, cause: Cause) -> None:
-        """Stop waiting: closes the connection, which is how the upstream host learns of it."""
-        if self.over:
+        """Stop waiting and close the connection, by which the upstream host notices it."""
+        if self.settled:
             return
         if self.stage is Stage.WRITING:
-            # guards against "never ran" in the moment when the kernel has the last byte and send_all has
-            # not come back yet: whoever stops waiting while it writes can't know
+            # The kernel may already have the last byte although send_all has not returned yet, so the request
+            # may have run.
             self.stage = Stage.SENT
         self.scope.cancel()
-        # guards against two attempts out at once: the next one may be written before this one's task runs on
+        # Close at once: the next attempt may be written before this one's task runs again, and two attempts
+        # must not be in flight at a time.
         close_now(self.stream)
         self.fail(cause)
 
 
 class Upstream:
-    """All upstream hosts and the connections to them, which it bounds."""
+    """All upstream hosts and a bounded number of connections to them."""
 
-    def __init__(self, config, wheel, clock, counters, nursery, most: int, dial=dial_tcp):
+    def __init__(self, config, wheel, clock, counters, nursery, max_connections: int, dial=dial_tcp):
         self.config, self.wheel, self.clock, self.counters = config, wheel, clock, counters
-        self.nursery, self.most, self.dial = nursery, most, dial
+        self.nursery, self.max_connections, self.dial = nursery, max_connections, dial
         self.hosts: dict[str, UpstreamHost] = {}
-        self.count = 0  # connections open or being opened
+        self.count = 0  # connections that are open or being opened
         self.keeping = True  # connections are kept between requests
-        # whether the fleet's budget allows one connection more to a host that has so many; None: no budget
+        # Whether the fleet's budget allows another connection to the host (uid, number of connections to it).
+        # None without a budget.
         self.may_open: Callable[[str, int], bool] | None = None
         self.retune(config)
         wheel.after(config.conn_idle_ms / 10, self._sweep)
 
     def retune(self, config) -> None:
-        """Go by this configuration from now on."""
+        """Apply a new configuration."""
         self.config = config
-        self.usable_ms = self.most_idle_ms = IDLE_SHARE * config.conn_idle_ms
+        self.usable_idle_ms = self.max_usable_idle_ms = USABLE_IDLE_SHARE * config.conn_idle_ms
 
-    def resize(self, most: int) -> None:
-        """Hold no more connections than this, as soon as requests let go of them."""
-        self.most = most
-        over = self.count - most
+    def resize(self, max_connections: int) -> None:
+        """Set the maximum of connections.  Those in use beyond it are closed when their requests end."""
+        self.max_connections = max_connections
+        excess = self.count - max_connections
         for host in self.hosts.values():
-            over -= self._close_idle(host, max(len(host.idle) - max(over, 0), 0))
+            excess -= self._close_idle(host, max(len(host.idle) - max(excess, 0), 0))
 
     def keep(self, keeping: bool) -> None:
-        """Keep connections between requests, or let go of all that stand idle."""
+        """Keep connections between requests; if not, close the idle ones."""
         self.keeping = keeping
         for host in self.hosts.values() if not keeping else ():
             self._close_idle(host, 0)
 
-    # -- The hosts -------------------------------------------------------------------------------
+    # -- Hosts -------------------------------------------------------------------------------
 
-    def place(self, uid: str, address: tuple[str, int], started: float, wanted: bool = True) -> None:
-        """Note where an upstream host is reached, and whether it wants new work."""
+    def place(self, uid: str, address: tuple[str, int], started: float, accepts_work: bool = True) -> None:
+        """Set an upstream host's address and start time, and whether it accepts new work."""
         host = self.hosts.get(uid)
         if host is not None and (host.address, host.started) == (address, started):
-            host.wanted = wanted
-            if not wanted:
-                host.wake(len(host.waiting))  # their jobs go elsewhere at once
+            host.accepts_work = accepts_work
+            if not accepts_work:
+                host.wake(len(host.waiting))  # the waiting requests fail at once and are sent elsewhere
             return
-        # guards against kept connections to a process that is no more: a request on one may be lost unseen
+        # Connections to the earlier process must not be used: a request on one may be lost without an error.
         self.drop(uid)
-        self.hosts[uid] = UpstreamHost(uid, address, started, wanted=wanted)
+        self.hosts[uid] = UpstreamHost(uid, address, started, accepts_work=accepts_work)
 
     def open_to(self, uid: str) -> int:
-        """Connections to an upstream host, those being opened included."""
+        """Number of connections to an upstream host, including those being opened."""
         host = self.hosts.get(uid)
         return host.open if host is not None else 0
 
-    def bound(self, uid: str, most: int) -> None:
-        """Hold no more connections to an upstream host than this: idle ones go now, others when let go."""
+    def bound(self, uid: str, max_open: int) -> None:
+        """Limit connections to an upstream host: closes idle ones now, others when they are released."""
         host = self.hosts.get(uid)
         if host is not None:
-            host.most = most
-            host.wake(max(most - host.open, 0))
-            if host.open > most:
-                self._close_idle(host, max(len(host.idle) - (host.open - most), 0))
+            host.max_open = max_open
+            host.wake(max(max_open - host.open, 0))
+            if host.open > max_open:
+                self._close_idle(host, max(len(host.idle) - (host.open - max_open), 0))
 
     def drop(self, uid: str) -> None:
-        """Forget an upstream host and close its idle connections."""
+        """Remove an upstream host and close its idle connections."""
         host = self.hosts.pop(uid, None)
         if host is not None:
-            host.gone = True
+            host.removed = True
             host.wake(len(host.waiting))
             self._close_idle(host, 0)
 
     def _close_idle(self, host: UpstreamHost, keep: int) -> int:
-        """Close all idle connections but the latest used; tell how many."""
-        old, host.idle[:] = host.idle[: len(host.idle) - keep], host.idle[len(host.idle) - keep :]
-        for connection in old:
+        """Close the idle connections except the `keep` most recently used; return how many were closed."""
+        closed, host.idle[:] = host.idle[: len(host.idle) - keep], host.idle[len(host.idle) - keep :]
+        for connection in closed:
             self._close_soon(connection)
-        return len(old)
+        return len(closed)
 
     def _close_soon(self, connection: Connection) -> None:
         self.nursery.start_soon(self._close, connection)
@@ -259,43 +269,45 @@
         await trio.aclose_forcefully(connection.stream)
 
     def _sweep(self) -> None:
-        """Close what has stood idle so long that it may no longer be used."""
-        limit = self.clock.now() - self.usable_ms
+        """Close connections that have been idle for too long to be used again."""
+        oldest = self.clock.now() - self.usable_idle_ms
         for host in self.hosts.values():
-            self._close_idle(host, sum(c.idle_since > limit for c in host.idle))
+            self._close_idle(host, sum(c.idle_since > oldest for c in host.idle))
         self.wheel.after(self.config.conn_idle_ms / 10, self._sweep)
 
     # -- Connections -----------------------------------------------------------------------------
 
-    def _kept(self, host: UpstreamHost) -> Connection | None:
-        """An idle connection that may still be used."""
+    def _take_idle(self, host: UpstreamHost) -> Connection | None:
+        """Take an idle connection that can be used; close those that have been idle too long or have data."""
         now = self.clock.now()
-        for connection in [c for c in reversed(host.idle) if c.rests_until <= now]:
+        for connection in [c for c in reversed(host.idle) if c.unusable_until <= now]:
             host.idle.remove(connection)
-            connection.stood_ms = now - connection.idle_since
-            if connection.stood_ms < self.usable_ms and is_quiet(connection.stream):
+            connection.idle_ms = now - connection.idle_since
+            if connection.idle_ms < self.usable_idle_ms and is_quiet(connection.stream):
                 self.counters["upstream.reused"] += 1
                 return connection
             self._close_soon(connection)
         return None
 
-    def _learn_idle(self, connection: Connection, broke: bool) -> None:
-        """Learn how long a connection may stand idle and still be of use.
+    def _adjust_usable_idle(self, connection: Connection, broke: bool) -> None:
+        """Adjust how long a connection may be idle before it is no longer used.
 
-        Guards against upstream hosts, or something on the way, that let go of idle connections sooner than
-        the settings say: the request then breaks once it is written, and counts as possibly run.
+        An upstream host, or a device on the path, may close idle connections sooner than the settings say.  A
+        request then breaks after it was written, and counts as possibly executed.
         """
-        if connection.stood_ms is None:
+        if connection.idle_ms is None:
             return
         if broke:
             self.counters["upstream.stale"] += 1
-            self.usable_ms = max(min(self.usable_ms, connection.stood_ms) * STALE_CUT, USABLE_LEAST_MS)
-        elif connection.stood_ms > self.usable_ms / 4:
-            self.usable_ms = min(self.usable_ms * FRESH_GAIN, self.most_idle_ms)
+            self.usable_idle_ms = max(
+                min(self.usable_idle_ms, connection.idle_ms) * STALE_FACTOR, MIN_USABLE_IDLE_MS
+            )
+        elif connection.idle_ms > self.usable_idle_ms / 4:
+            self.usable_idle_ms = min(self.usable_idle_ms * REUSED_FACTOR, self.max_usable_idle_ms)
 
     def _make_room(self) -> bool:
-        """Keep the descriptors bounded: give up the connection that has been idle longest."""
-        if self.count < self.most:
+        """Make room for another connection: at the limit, close the one that has been idle longest."""
+        if self.count < self.max_connections:
             return True
         idle = [host for host in self.hosts.values() if host.idle]
         if idle:
@@ -304,46 +316,49 @@
         return bool(idle)
 
     async def _connect(self, host: UpstreamHost) -> Connection | Failure:
-        """A kept connection or a new one, or one that comes free where the fleet's budget allows no more."""
+        """An idle connection or a new one.  Waits for a free one if the fleet's budget allows no more."""
         until = self.clock.now() + self.config.dial_timeout_ms
-        while (connection := self._kept(host)) is None:
+        while (connection := self._take_idle(host)) is None:
             if self.may_open is None or self.may_open(host.uid, host.open):
                 return await self._open(host)
-            if not await self._let_go(host, until):
-                return Failure(Stage.CONNECTING, Cause.NOT_SENT, "the fleet's budget is used up")
+            if not await self._wait_for_release(host, until):
+                return Failure(Stage.CONNECTING, Cause.NOT_SENT, "fleet's connection budget is used up")
         return connection
 
     async def _open(self, host: UpstreamHost) -> Connection | Failure:
-        """A new connection."""
+        """Open a new connection."""
         if not self._make_room():
-            return Failure(Stage.CONNECTING, Cause.NOT_SENT, "too many connections")
+            return Failure(Stage.CONNECTING, Cause.NOT_SENT, "too many upstream connections")
         self.counters["upstream.dialled"] += 1
         self.count += 1
         host.open += 1
-        stream, why = None, "no connection in time"
+        stream, reason = None, "connect timed out"
         try:
             with self.wheel.limit(self.config.dial_timeout_ms):
                 stream = await self.dial(host.address)
         except OSError as problem:
-            why = str(problem)
+            reason = str(problem)
         finally:
             if stream is None:
                 self.count -= 1
                 host.open -= 1
                 host.wake(1)
-        return Connection(stream, host) if stream else Failure(Stage.CONNECTING, Cause.BROKEN, why)
+        return Connection(stream, host) if stream else Failure(Stage.CONNECTING, Cause.BROKEN, reason)
+
+    async def _wait_for_release(self, host: UpstreamHost, until: float) -> bool:
+        """Wait until a connection to the host is released.
 
-    async def _let_go(self, host: UpstreamHost, until: float) -> bool:
-        """Wait for a connection to an upstream host to be let go; False: not in time, or too many wait."""
-        left = until - self.clock.now()
-        full = len(host.waiting) >= WAITING_EACH * host.open
-        if left <= 0 or full or host.gone or not host.wanted:
+        Returns False on a timeout, if too many requests wait, or if the host accepts no new work.
+        """
+        left_ms = until - self.clock.now()
+        full = len(host.waiting) >= MAX_WAITERS_PER_CONNECTION * host.open
+        if left_ms <= 0 or full or host.removed or not host.accepts_work:
             return False
         self.counters["upstream.waited"] += 1
         woken = trio.Event()
         host.waiting.append(woken)
         try:
-            with self.wheel.limit(left):
+            with self.wheel.limit(left_ms):
                 await woken.wait()
         finally:
             if woken in host.waiting:
@@ -351,15 +366,15 @@
         return woken.is_set()
 
     async def _release(self, connection: Connection | Failure | None) -> None:
-        """Keep a connection whose exchange is complete; close any other."""
+        """Keep a connection whose exchange is complete, if it may be kept; close any other."""
         if not isinstance(connection, Connection):
             return
         http, host = connection.http, connection.host
-        kept = self.keeping and not host.gone and (host.most is None or host.open <= host.most)
+        kept = self.keeping and not host.removed and (host.max_open is None or host.open <= host.max_open)
         if kept and http.our_state is h11.DONE and http.their_state is h11.DONE:
             http.start_next_cycle()
             connection.idle_since = self.clock.now()
-            connection.rests_until = connection.idle_since + REST_MS * connection.nameless
+            connection.unusable_until = connection.idle_since + REUSE_DELAY_MS * connection.anonymous_response
             host.idle.append(connection)
         else:
             await self._close(connection)
@@ -370,8 +385,11 @@
     def send(
         self, uid: str, payload: Payload, until: float, begin_by: float, ended, progressed
     ) -> UpstreamRequest:
-        """Start an upstream request, given up at clock time until, and not begun after begin_by; its outcome
-        comes through ended, never before this returns."""
+        """Start an upstream request.
+
+        It is abandoned at clock time `until` and not written from `begin_by` on.  Its outcome is passed to
+        `ended`, never before this returns.
+        """
         request = UpstreamRequest(payload, until, begin_by, ended, progressed)
         self.nursery.start_soon(self._run, request, self.hosts.get(uid))
         return request
@@ -387,127 +405,130 @@
                 if isinstance(connection, Failure):
                     request.settle(connection)
                     return
-                if host.gone or not host.wanted:
-                    # guards rule 3: the drain or end was told while the connection was being made
-                    request.fail(Cause.NOT_SENT, "the upstream host is not in service any more")
+                if host.removed or not host.accepts_work:
+                    # The host was drained or removed while the connection was opened.
+                    request.fail(Cause.NOT_SENT, "upstream host is no longer in service")
                     return
                 await self._exchange(request, connection)
-                self._learn_idle(connection, False)
+                self._adjust_usable_idle(connection, False)
         except BREAKS as problem:
             broke = request.stage <= Stage.SENT
             request.fail(Cause.BROKEN, str(problem))
         except (h11.RemoteProtocolError, msgspec.DecodeError, ValueError) as problem:
-            problem.__traceback__ = None  # guards against a cycle, see downstream
+            problem.__traceback__ = None  # breaks a reference cycle, see Downstream._serve_one
             request.fail(Cause.MALFORMED, str(problem))
         except Exception as problem:
-            # guards against one connection's surprise taking the scheduler down
+            # An unexpected error on one connection must not end the scheduler.
             log.exception("upstream.failed")
             self.counters["upstream.exceptions"] += 1
             request.fail(Cause.BROKEN, repr(problem))
         finally:
             if isinstance(connection, Connection) and broke:
-                self._learn_idle(connection, True)
+                self._adjust_usable_idle(connection, True)
             with trio.CancelScope(shield=True):
                 await self._release(connection)
 
     async def _exchange(self, request: UpstreamRequest, connection: Connection) -> None:
-        # as it is written, not as it was decided: its connection may have come up late
+        # The time that is left now, not when the attempt was decided: opening the connection takes time.
         now = self.clock.now()
-        left = int(request.until - now)
-        if left <= 0 or now >= request.begin_by:
-            # guards against an answer that nobody waits for, and against a repeat that workers have forgotten
+        left_ms = int(request.until - now)
+        if left_ms <= 0 or now >= request.begin_by:
+            # Past `until` nobody waits for the response.  Past `begin_by` workers may no longer recognize a
+            # retry by its idempotency key.
             self.counters["sent.too_late"] += 1
-            request.fail(Cause.NOT_SENT, "its time was up before it could be written")
+            request.fail(Cause.NOT_SENT, "deadline passed before the request was written")
             return
         request.stage, request.stream = Stage.WRITING, connection.stream
         payload, http = request.payload, connection.http
         host, port = connection.host.address
         headers = [
             (b"Host", f"{host}:{port}".encode()),
-            *(pair for pair in payload.headers if pair[0].lower() not in HOP_BY_HOP | OURS_TO_SAY),
-            (b"X-Timeout-Ms", str(left).encode()),
+            *(pair for pair in payload.headers if pair[0].lower() not in HOP_BY_HOP | OVERWRITTEN_HEADERS),
+            (b"X-Timeout-Ms", str(left_ms).encode()),
             (b"Content-Length", str(len(payload.body)).encode()),
         ]
         head = http.send(h11.Request(method=payload.method, target=payload.target, headers=headers))
         body = http.send(h11.Data(payload.body)) if payload.body else b""
-        # send_all comes back only once the last byte is with the kernel, and fails or is cancelled only
-        # before that: this is the line between "never ran" and "may have run"
+        # send_all returns only once the kernel has the last byte, and fails or is cancelled only before that.
+        # Its return separates "never ran" from "may have run".
         await connection.stream.send_all(head + body + http.send(h11.EndOfMessage()))
         request.stage = Stage.SENT
         self.counters[TRIES] += 1
-        answer = await connection.next_event()
-        while type(answer) is h11.InformationalResponse:
-            answer = await connection.next_event()
-        if type(answer) is not h11.Response:
-            raise h11.RemoteProtocolError("no answer")
+        response = await connection.next_event()
+        while type(response) is h11.InformationalResponse:
+            response = await connection.next_event()
+        if type(response) is not h11.Response:
+            raise h11.RemoteProtocolError("connection ended without a response")
         request.stage = Stage.ANSWERING
-        if answer.status_code != 200:
-            self._turned_down(request, answer)
+        if response.status_code != 200:
+            self._fail_by_status(request, response)
         else:
             await self._read_lines(request, connection)
-        if request.over and connection.http.their_state is not h11.DONE:
-            with self.wheel.limit(TAIL_MS):
+        if request.settled and connection.http.their_state is not h11.DONE:
+            with self.wheel.limit(RESPONSE_TAIL_TIMEOUT_MS):
                 while type(await connection.next_event()) not in (h11.EndOfMessage, h11.ConnectionClosed):
                     pass
 
-    def _turned_down(self, request: UpstreamRequest, answer: h11.Response) -> None:
-        headers = dict(answer.headers)
+    def _fail_by_status(self, request: UpstreamRequest, response: h11.Response) -> None:
+        headers = dict(response.headers)
         report = report_from(parse_load(headers.get(b"x-server-load", b"").decode("latin-1")))
-        status = answer.status_code
-        unseen = status in (503, 504) and headers.get(b"x-not-processed", b"").strip() == b"1"
-        request.fail(Cause.TURNED_AWAY if unseen else Cause.ERROR, f"status {status}", report)
+        status = response.status_code
+        not_processed = status in (503, 504) and headers.get(b"x-not-processed", b"").strip() == b"1"
+        request.fail(Cause.TURNED_AWAY if not_processed else Cause.ERROR, f"status {status}", report)
 
     async def _read_lines(self, request: UpstreamRequest, connection: Connection) -> None:
-        """Follow a taken job's lines up to its last."""
+        """Read the response lines of an accepted job up to the one that settles it."""
         buffer = b""
-        while not request.over:
+        while not request.settled:
             event = await connection.next_event()
             if type(event) is not h11.Data:
-                request.fail(Cause.BROKEN, "ended before its last line")
+                request.fail(Cause.BROKEN, "response ended before its last line")
                 return
             *lines, buffer = (buffer + bytes(event.data)).split(b"\n")
-            if len(buffer) > LINE_MOST:
-                raise ValueError("a line without end")
+            if len(buffer) > MAX_LINE_BYTES:
+                raise ValueError("response line exceeds the size limit")
             for line in lines:
-                if line.strip() and not request.over:
-                    self._line(request, _decode_line(line))
+                if line.strip() and not request.settled:
+                    self._handle_line(request, _decode_line(line))
 
-    def _line(self, request: UpstreamRequest, line: _Line) -> None:
+    def _handle_line(self, request: UpstreamRequest, line: _Line) -> None:
         if line.id != request.payload.request_id:
-            # guards against serving a stream with another's result
-            raise ValueError(f"a line for {line.id!r}")
+            # A client must not get the result of another request.
+            raise ValueError(f"response line for another request: {line.id!r}")
         report = report_from(line.load)
         if line.state == DONE:
             if not bytes(line.result):
-                # guards against serving a stream with what no upstream host has made for it
-                raise ValueError("done, without a result")
+                # A client must not get a result that no upstream host has produced.
+                raise ValueError("job is done but has no result")
             request.settle(Served(result_bytes(line.result), report))
         elif line.state == FAILED:
-            request.fail(Cause.ERROR, "the job failed", report)
+            request.fail(Cause.ERROR, "job failed", report)
         elif line.state == LOST:
-            request.fail(Cause.LOST, "the job was killed", report)
+            request.fail(Cause.LOST, "job was killed", report)
         elif line.state == RETURNED:
-            # guards against "never ran" on the word of a host that has told of the job's start
-            request.fail(Cause.MALFORMED if request.heard else Cause.TURNED_AWAY, "handed back", report)
+            # A host that has reported the job's start can no longer claim that it never ran.
+            request.fail(
+                Cause.MALFORMED if request.job_started else Cause.TURNED_AWAY, "job was handed back", report
+            )
         elif line.state == "started":
-            request.heard = True
+            request.job_started = True
             request.progressed(None)
         elif line.state == "running":
-            request.heard = True
+            request.job_started = True
             request.progressed(line.share or 0.0)
         else:
-            raise ValueError(f"an unknown state {line.state!r}")
+            raise ValueError(f"unknown job state {line.state!r}")
 
     # -- Probes ----------------------------------------------------------------------------------
 
     def probe(self, uid: str, ended: Callable) -> None:
-        """Ask an upstream host how it is; ended gets the outcome and a load report, if there is one."""
+        """Probe an upstream host; `ended` receives the outcome and the load report, or None without one."""
         self.nursery.start_soon(self._probe, self.hosts.get(uid), ended)
 
     async def _probe(self, host: UpstreamHost | None, ended: Callable) -> None:
         outcome, report, connection = Outcome.CONNECT_FAILED, None, None
         try:
-            with self.wheel.limit(PROBE_MS) as scope:
+            with self.wheel.limit(PROBE_TIMEOUT_MS) as scope:
                 connection = await self._connect(host) if host else None
                 if isinstance(connection, Connection):
                     outcome = Outcome.RESET
@@ -517,7 +538,7 @@
             if scope.cancelled_caught and isinstance(connection, Connection):
                 outcome = Outcome.TIMEOUT
         except (*BREAKS, h11.RemoteProtocolError, ValueError) as problem:
-            log.debug("probe.failed", why=str(problem))  # the outcome so far says it
+            log.debug("probe.failed", why=str(problem))  # `outcome` is already set
         except Exception:
             log.exception("probe.failed")
             self.counters["upstream.exceptions"] += 1
@@ -538,21 +559,21 @@
                 status = event.status_code
             elif type(event) is h11.Data:
                 body += event.data
-                if len(body) > LINE_MOST:
-                    raise ValueError("a report without end")
+                if len(body) > MAX_LINE_BYTES:
+                    raise ValueError("load report exceeds the size limit")
             elif type(event) is h11.ConnectionClosed:
-                raise trio.BrokenResourceError("closed before an answer")
+                raise trio.BrokenResourceError("connection closed before a response")
         return status, body
 
 
 def result_bytes(raw: msgspec.Raw) -> bytes:
-    """The result as the client gets it: a text bare, anything else as its JSON."""
+    """The result in the form sent to the client: a string without quotes, any other value as JSON."""
     value = msgspec.json.decode(raw)
     return value.encode() if isinstance(value, str) else bytes(raw)
 
 
 def parse_load(text: str) -> dict[str, float]:
-    """A load report in the form name=value,name=value; what is no number is passed over."""
+    """Parse a load report in the form name=value,name=value; skips values that are not numbers."""
     report = {}
     for part in text.split(","):
         name, _, value = part.partition("=")
@@ -564,7 +585,7 @@
 
 
 def parse_report(body: bytes) -> dict | None:
-    """A probe's body: a load report as JSON, or in the header's form."""
+    """Parse a probe's body: a load report as JSON, or in the form of the load header."""
     if not body.lstrip().startswith(b"{"):
         return parse_load(body.decode("latin-1"))
     return msgspec.json.decode(body, type=dict)
