--- a/molespur/net/asking.py
+++ b/molespur/net/asking.py
@@ -1,35 +1,40 @@
-"""When discovery is asked again.  Pure."""
+"""The delays between calls to discovery.  Does no I/O."""
 
 from random import Random
 
 from ..interface import Settings
 
-# A change counts as told 6 s after discovery had it and could be reached, a silent watch 6 s after it
-# fell silent.  So the silence, the wait before asking again and the call together have to stay below that.
-SILENCE_MS = 3000.0  # an empty line comes every 2 s: without it the watch is taken for broken
-CALL_MS = 1500.0  # for a connection, and for the answer to begin
-EACH_MS, EACH_MOST_MS = 5.0, 1000.0  # of asking for each scheduler, so that a fleet does not ask all at once
-AGAIN_MS, AGAIN_MOST_MS = 100.0, 1500.0  # least wait after a failed call, which doubles up to the most
+# A scheduler must know a change within 6 s after discovery has it and is reachable, and must know what a
+# silent watch missed within 6 s after it fell silent.  So the silence timeout, the delay before the next call
+# and the call itself must together stay below 6 s.
+SILENCE_TIMEOUT_MS = 3000.0  # discovery sends an empty line every 2 s; without it the watch counts as broken
+CALL_TIMEOUT_MS = 1500.0  # to connect, and for the response to begin
+# The calls of a fleet are spread over this time for each scheduler, so that they do not come all at once.
+SPREAD_PER_SCHEDULER_MS, MAX_SPREAD_MS = 5.0, 1000.0
+MIN_RETRY_DELAY_MS, MAX_RETRY_DELAY_MS = 100.0, 1500.0  # after failed calls: doubles with each one
 
 
-class Asking:
-    """The waits before calls, drawn, by how the calls before have ended."""
+class WatchBackoff:
+    """Draws the delay before each call, by how earlier calls ended."""
 
     def __init__(self, rng: Random):
-        self.rng, self.failed = rng, 0  # calls in a row that did not become a watch that stood
+        self.rng, self.failed_calls = rng, 0  # calls in a row that did not lead to a lasting watch
 
-    def ended(self, stood_ms: float) -> None:
-        """A call has ended that had told something for so long; 0: it told nothing.
+    def record_end(self, active_ms: float) -> None:
+        """Record the end of a call that was sending updates for active_ms; 0 if it sent none.
 
-        Guards against a discovery that answers and hangs up at once being asked as fast as it does so.
+        A watch counts as lasting from SILENCE_TIMEOUT_MS on.  Otherwise a discovery that responds and closes
+        at once would be called again as fast as it closes.
         """
-        self.failed = 1 if stood_ms >= SILENCE_MS else self.failed + 1
-
-    def wait_ms(self, settings: Settings) -> float:
-        """How long to wait before the next call."""
-        # lists that are pushed come from an agent of our own, and what it has counts as told from the start
-        spread = min(EACH_MS * settings.balancers, EACH_MOST_MS) if settings.subscribes else 0.0
-        if self.failed < 2:
+        self.failed_calls = 1 if active_ms >= SILENCE_TIMEOUT_MS else self.failed_calls + 1
+
+    def next_delay_ms(self, settings: Settings) -> float:
+        """The delay before the next call."""
+        # Pushed lists come from a local agent, and what the agent has must be known from the start: no delay.
+        spread = (
+            min(SPREAD_PER_SCHEDULER_MS * settings.balancers, MAX_SPREAD_MS) if settings.subscribes else 0.0
+        )
+        if self.failed_calls < 2:
             return spread * self.rng.random()
-        least = AGAIN_MS * 2 ** min(self.failed - 1, 10)
-        return min(max(spread, least), AGAIN_MOST_MS) * (1 + self.rng.random()) / 2
+        min_delay = MIN_RETRY_DELAY_MS * 2 ** min(self.failed_calls - 1, 10)
+        return min(max(spread, min_delay), MAX_RETRY_DELAY_MS) * (1 + self.rng.random()) / 2
--- a/molespur/net/discovery.py
+++ b/molespur/net/discovery.py
@@ -1,4 +1,4 @@
-"""The platform's discovery as a source of the cluster: the list, and the watch that keeps it."""
+"""The platform's discovery service as a source of the cluster: a watch on its list of upstream hosts."""
 
 from random import Random
 
@@ -9,18 +9,18 @@
 from .. import logs
 from ..config import ConfigError, Target
 from ..interface import NewsMode
-from .asking import CALL_MS, SILENCE_MS, Asking
+from .asking import CALL_TIMEOUT_MS, SILENCE_TIMEOUT_MS, WatchBackoff
 from .cluster import Placed
 from .upstream import BREAKS, dial_tcp
-from .values import Values
+from .values import JsonSplitter
 
 log = logs.get(__name__)
-VALUE_MOST = 1024 * 1024  # far more than a fleet of thousands; guards against a value without end
-LOGGED = 50  # faulty entries logged one by one
+MAX_VALUE_BYTES = 1024 * 1024  # far more than thousands of hosts need; bounds an endless value
+MAX_LOGGED = 50  # faulty entries that are logged; later ones are only counted
 
 
-class Told(msgspec.Struct):
-    """Discovery's list or the changes to it; the entries are read one by one."""
+class _Listing(msgspec.Struct):
+    """Discovery's full list or changes to it.  The entries are decoded one by one."""
 
     rev: int
     all: bool
@@ -31,28 +31,28 @@
     uid: str
 
 
-_decode_told = msgspec.json.Decoder(Told).decode
+_decode_listing = msgspec.json.Decoder(_Listing).decode
 _decode_target = msgspec.json.Decoder(Target).decode
 _decode_uid = msgspec.json.Decoder(_Uid).decode
 
 
 class Discovery:
-    """The one watch on discovery, kept up whatever becomes of a call, and its answers given to the cluster.
+    """Keeps one watch on discovery and passes its updates to the cluster.  Reopens it whenever a call ends.
 
-    It asks by its own clock, with lists that are pushed as with those asked for: the module's Watch finds it
-    at work.
+    The watch runs from the start, for lists that are pushed and lists that are requested alike.  When the
+    decision module asks for a Watch, it is already running.
     """
 
     def __init__(self, cluster, config, wheel, clock, counters, nursery, dial=dial_tcp):
         self.cluster, self.wheel, self.clock, self.counters = cluster, wheel, clock, counters
         self.nursery, self.dial, self.address = nursery, dial, config.discovery
         self.rev = config.known.rev
-        self.asking = Asking(Random(config.seed ^ 0xD15C))
-        self._scope, self._whole = None, False
-        self._told_since: float | None = None  # since when the call that is out has told something
+        self.backoff = WatchBackoff(Random(config.seed ^ 0xD15C))
+        self._scope, self._needs_full_list = None, False
+        self._first_update_at: float | None = None  # of the current call; None before its first update
 
     def start(self) -> None:
-        """Keep a watch from now on."""
+        """Start the watch.  Has no effect while it runs."""
         if self._scope is None:
             self._open()
 
@@ -61,78 +61,80 @@
     def _open(self) -> None:
         if self._scope is not None:
             self._scope.cancel()
-        self._scope, self.asking.failed = trio.CancelScope(), 0
+        self._scope, self.backoff.failed_calls = trio.CancelScope(), 0
         self.nursery.start_soon(self._keep, self._scope)
 
     def move(self, address: tuple[str, int]) -> None:
-        """Discovery is elsewhere from now on: ask there at once, for the whole list.
+        """Switch to another address of discovery, and request the full list there at once.
 
-        The list we hold stands until then.  Its version may mean something else there, so it is not told.
+        The current list stays in force until the new one arrives.  Its revision is not sent, since it may
+        mean something else at the new address.
         """
-        self.address, self._whole = address, True
+        self.address, self._needs_full_list = address, True
         self._open()
 
-    # -- What is told ----------------------------------------------------------------------------
+    # -- Updates ---------------------------------------------------------------------------------
 
-    def _take(self, told: Told) -> None:
+    def _apply(self, listing: _Listing) -> None:
         placed, faulty = [], []
-        for raw in told.targets:
+        for raw in listing.targets:
             try:
                 placed.append(Placed.from_target(_decode_target(raw), self.clock.from_unix))
             except (msgspec.DecodeError, ConfigError, ValueError) as problem:
                 faulty.append(raw)
                 self.counters["cluster.faulty_entries"] += 1
-                if self.counters["cluster.faulty_entries"] <= LOGGED:
+                if self.counters["cluster.faulty_entries"] <= MAX_LOGGED:
                     log.warning("cluster.faulty_entry", why=str(problem))
         if faulty and not placed:
-            raise ValueError("no entry makes sense")  # the old list stands, and the whole one is asked for
-        self.rev = told.rev
-        if told.all and faulty:
-            placed += self._as_held(faulty, {one.entry.worker for one in placed})
-        self.cluster.take(placed, NewsMode.COMPLETE if told.all else NewsMode.PARTIAL)
+            # The current list stays in force and the full list is requested.
+            raise ValueError("all entries are faulty")
+        self.rev = listing.rev
+        if listing.all and faulty:
+            placed += self._current_entries(faulty, {one.entry.worker for one in placed})
+        self.cluster.take(placed, NewsMode.COMPLETE if listing.all else NewsMode.PARTIAL)
 
-    def _as_held(self, faulty: list[msgspec.Raw], named: set[str]) -> list[Placed]:
-        """The workers that a whole list may mean by its faulty entries, as they are held.
+    def _current_entries(self, faulty: list[msgspec.Raw], decoded: set[str]) -> list[Placed]:
+        """The current entries of the workers that the faulty entries of a full list may name.
 
-        Guards against one faulty entry taking a good worker off the list.
+        A faulty entry must not remove a working upstream host.
         """
         try:
-            meant = {_decode_uid(raw).uid for raw in faulty}
+            candidates = {_decode_uid(raw).uid for raw in faulty}
         except msgspec.DecodeError:
-            meant = set(self.cluster.placed)  # it does not say whom it means
-        return [one for uid, one in self.cluster.placed.items() if uid in meant - named]
+            candidates = set(self.cluster.placed)  # an entry without a uid may name any worker
+        return [one for uid, one in self.cluster.placed.items() if uid in candidates - decoded]
 
     # -- The watch -------------------------------------------------------------------------------
 
     async def _keep(self, scope: trio.CancelScope) -> None:
-        """Watch, and ask again whenever that ends, until given up for another."""
+        """Watch, and call again whenever a call ends, until the scope is cancelled."""
         with scope:
             while True:
-                # a fleet that lost its watches at once must not ask in step
-                with self.wheel.limit(self.asking.wait_ms(self.cluster.host.settings)):
+                # The delay is random, so that schedulers that lost their watches at once do not call at once.
+                with self.wheel.limit(self.backoff.next_delay_ms(self.cluster.host.settings)):
                     await trio.sleep_forever()
-                self._told_since = None
-                why = await self._call()
-                since = self._told_since
-                self.asking.ended(self.clock.now() - since if since is not None else 0.0)
+                self._first_update_at = None
+                reason = await self._call()
+                since = self._first_update_at
+                self.backoff.record_end(self.clock.now() - since if since is not None else 0.0)
                 self.counters["cluster.errors"] += 1
-                log.info("cluster.watch_ended", why=why)
+                log.info("cluster.watch_ended", why=reason)
 
     async def _call(self) -> str:
-        """Ask and follow the answer until it ends; say why it did."""
+        """Open the watch and read it until it ends; return the reason for the end."""
         stream = None
         try:
-            with self.wheel.limit(CALL_MS):
+            with self.wheel.limit(CALL_TIMEOUT_MS):
                 stream = await self.dial(self.address)
-            return await self._follow(stream) if stream else "no connection in time"
+            return await self._follow(stream) if stream else "connect timed out"
         except BREAKS as problem:
             return str(problem) or type(problem).__name__
         except h11.RemoteProtocolError as problem:
-            problem.__traceback__ = None  # guards against a cycle, see downstream
+            problem.__traceback__ = None  # breaks a reference cycle, see Downstream._serve_one
             return f"ended: {problem}"
         except (msgspec.DecodeError, ValueError) as problem:
-            # what was told is lost, so that changes to it would be changes to a list that we do not hold
-            self._whole = True
+            # An update is lost, so later changes would not apply to the list that we have.
+            self._needs_full_list = True
             return f"malformed: {problem}"
         except Exception as problem:
             log.exception("cluster.watch_failed")
@@ -143,42 +145,42 @@
                     await trio.aclose_forcefully(stream)
 
     async def _follow(self, stream) -> str:
-        """Read the watch until it ends; say why it did."""
-        http, values = h11.Connection(h11.CLIENT), Values(VALUE_MOST)
+        """Read the watch until it ends; return the reason for the end."""
+        http, splitter = h11.Connection(h11.CLIENT), JsonSplitter(MAX_VALUE_BYTES)
         address = "{}:{}".format(*self.address)
-        target = "/discovery/hosts?watch=1" + ("" if self._whole else f"&after={self.rev}")
+        target = "/discovery/hosts?watch=1" + ("" if self._needs_full_list else f"&after={self.rev}")
         head = http.send(h11.Request(method="GET", target=target, headers=[("Host", address)]))
         self.counters["cluster.calls"] += 1
-        until, answered = self.clock.now() + CALL_MS, False
-        with self.wheel.limit(CALL_MS) as limit:
+        until, has_response = self.clock.now() + CALL_TIMEOUT_MS, False
+        with self.wheel.limit(CALL_TIMEOUT_MS) as limit:
             await stream.send_all(head + http.send(h11.EndOfMessage()))
         if limit.cancelled_caught:
-            return "no answer in time"
+            return "response timed out"
         while True:
             with self.wheel.limit(until - self.clock.now()) as limit:
                 while (event := http.next_event()) is h11.NEED_DATA:
                     http.receive_data(await stream.receive_some(65536))
             if limit.cancelled_caught:
-                return "silent" if answered else "no answer in time"
+                return "silent" if has_response else "response timed out"
             if type(event) is h11.Response:
                 if event.status_code != 200:
                     return f"status {event.status_code}"
-                answered, until = True, self.clock.now() + SILENCE_MS
+                has_response, until = True, self.clock.now() + SILENCE_TIMEOUT_MS
             elif type(event) in (h11.EndOfMessage, h11.ConnectionClosed):
                 return "ended"
             elif type(event) is h11.Data:
-                whole, line_ended = values.feed(bytes(event.data))
-                # by whole values and lines, not by bytes: half a line that stays half is silence too
-                self._heed(whole)
-                if whole or line_ended:  # an empty line: nothing has changed, which is an answer too
-                    until = self.clock.now() + SILENCE_MS
-                    self._told_since = self._told_since or self.clock.now()
-
-    def _heed(self, whole: list[bytes]) -> None:
-        for value in whole:
-            told = _decode_told(value)
-            if self._whole and not told.all:
-                # guards against changes to a list that we do not hold
-                raise ValueError("changes, where the whole list was asked for")
-            self._take(told)
-            self._whole = False
+                values, line_ended = splitter.feed(bytes(event.data))
+                # Only complete values and lines reset the timeout: a line that never ends is silence too.
+                self._apply_all(values)
+                if values or line_ended:  # an empty line says that nothing has changed
+                    until = self.clock.now() + SILENCE_TIMEOUT_MS
+                    self._first_update_at = self._first_update_at or self.clock.now()
+
+    def _apply_all(self, values: list[bytes]) -> None:
+        for value in values:
+            listing = _decode_listing(value)
+            if self._needs_full_list and not listing.all:
+                # Changes do not apply without the full list that they refer to.
+                raise ValueError("got changes instead of the requested full list")
+            self._apply(listing)
+            self._needs_full_list = False
--- a/molespur/net/values.py
+++ b/molespur/net/values.py
@@ -1,4 +1,4 @@
-"""Cuts a stream of bytes into JSON values, however they are laid out and in whatever pieces.  Pure."""
+"""Splits a byte stream into JSON values, for any layout and any chunking.  Does no I/O."""
 
 import re
 
@@ -6,19 +6,22 @@
 _outside = re.compile(rb"\S").search
 
 
-class Values:
-    """Objects and arrays, one after the other, with white space between them.
+class JsonSplitter:
+    """Splits a stream of JSON objects and arrays with white space between them.
 
-    `most`: bytes that a value may take.  `feed` raises ValueError for one that is larger, or for anything
-    else between values.
+    `feed` raises ValueError for a value larger than max_value_bytes, and for anything else between values.
     """
 
-    def __init__(self, most: int):
-        self.most = most
-        self._text, self._at, self._depth = bytearray(), 0, 0  # what is left; how far it is looked at
+    def __init__(self, max_value_bytes: int):
+        self.max_value_bytes = max_value_bytes
+        self._text, self._at, self._depth = (
+            bytearray(),
+            0,
+            0,
+        )  # unconsumed bytes; scan position; nesting depth
 
     def feed(self, data: bytes) -> tuple[list[bytes], bool]:
-        """The values that are whole now, and whether a line has ended outside of any value."""
+        """Return the values that are complete now, and whether a line ended outside of any value."""
         self._text += data
         values, line_ended = [], False
         while True:
@@ -30,21 +33,21 @@
                 if found is None:
                     break
                 if self._text[:1] not in (b"{", b"["):
-                    raise ValueError("neither an object nor an array")
-            if not self._whole():
+                    raise ValueError("JSON value is neither an object nor an array")
+            if not self._scan():
                 break
             values.append(bytes(self._text[: self._at]))
             del self._text[: self._at]
-        if len(self._text) > self.most:
-            raise ValueError("a value without end")
+        if len(self._text) > self.max_value_bytes:
+            raise ValueError("JSON value exceeds the size limit")
         return values, line_ended
 
-    def _whole(self) -> bool:
-        """Look on from where the last look ended; tell whether the value ends there."""
+    def _scan(self) -> bool:
+        """Scan on from the last position; return whether the value is complete there."""
         while (token := _inside(self._text, self._at)) is not None:
             kind = token[0]
             if kind == b'"':
-                self._at = token.start()  # a text that has not ended: it is looked at again with what comes
+                self._at = token.start()  # an incomplete string: scanned again when more data arrives
                 return False
             self._at = token.end()
             if kind in (b"{", b"["):
