--- a/molespur/net/downstream.py
+++ b/molespur/net/downstream.py
@@ -1,4 +1,4 @@
-"""The clients' side: HTTP requests become streams, final answers become responses."""
+"""The client side: HTTP requests become streams, final responses become HTTP responses."""
 
 import re
 from collections import deque
@@ -11,464 +11,505 @@
 from .counters import BAD_GATEWAY, DROPPED, PASSED, end_of
 from .failure import Served
 from .host import Arrival, Failed, Refused
-from .intake import BODY_MOST, Rejection, check_framing, check_request, class_of
+from .intake import MAX_BODY_BYTES, Rejection, check_framing, check_request, class_of
 from .listening import next_connection
 from .upstream import BREAKS, is_quiet, is_readable
 
 log = logs.get(__name__)
-AHEAD_MOST = 128 * 1024  # kept of what a client sends while its answer is awaited; more is thrown away
-FLOOD_MOST = 1 << 20  # sent ahead by one client, kept or not: beyond that it is told so and closed
-FIRST_MS = 2_000.0  # for the first job to arrive whole, counted from connecting: until then nothing is proven
-READ_MS = 2_000.0  # for a later one to arrive whole once it has begun
-WRITE_MS = 2_000.0  # for a client to take its answer
-CLOSING_MS = 100.0  # an idle connection that goes is kept for this long, for a request that crosses its close
-CUT_MS = 800.0  # for a request to be whole once connections close: a later one would be too young at the end
-KEEP_MS = 75_000.0  # an idle connection that has brought a job is kept for this long
-LINGER_MS = 1_000.0  # after the last answer, for the client to read it and stop sending
-LINGER_LEAST, LINGER_MOST = 1 << 20, 1 << 26  # bytes thrown away meanwhile: by any, and by LINGERERS at once
-LINGERERS = 2
-KEPT_SHARE = 0.75  # of the connections that clients hold for jobs: where more are open, idle ones are closed
-REST_MS = 20.0  # for one connection out of the listener's queue
-OVERFLOW = 16  # connections beyond the bound that are taken only to be told so
-CAME_MS = 10.0  # what comes within so long of each other has come at one time: bounds what is kept of it
-LOGGED = 50  # rejections logged one by one; guards the log and the CPU against floods of them
-ENDED = {Served: PASSED, Refused: DROPPED, Failed: BAD_GATEWAY}
+MAX_PIPELINED_BYTES = 128 * 1024  # kept of what a client sends before its response; more is discarded
+MAX_READ_AHEAD_BYTES = 1 << 20  # sent by a client before its response, kept or not; more is an error
+FIRST_REQUEST_TIMEOUT_MS = 2_000.0  # from connecting until the first job has arrived completely
+REQUEST_TIMEOUT_MS = 2_000.0  # from the first byte of a later job until it has arrived completely
+WRITE_TIMEOUT_MS = 2_000.0  # for a client to receive its response
+# While connections close, an idle one stays open for this long: a request may already be on its way.
+CLOSING_IDLE_TIMEOUT_MS = 100.0
+# For a request to arrive completely once connections close.  A later one would have too little time left.
+CLOSING_REQUEST_TIMEOUT_MS = 800.0
+KEEP_ALIVE_TIMEOUT_MS = 75_000.0  # of an idle connection that has sent a job
+LINGER_TIMEOUT_MS = 1_000.0  # after the last response, for the client to read it and stop sending
+# Bytes discarded while lingering: each connection may send the first number, MAX_LARGE_LINGERS at a time the
+# second.
+LINGER_BYTES, MAX_LINGER_BYTES = 1 << 20, 1 << 26
+MAX_LARGE_LINGERS = 2
+JOB_CONNECTIONS_SHARE = 0.75  # of the maximum of job connections; idle ones beyond it are closed
+ACCEPT_QUEUED_TIMEOUT_MS = 20.0  # to accept one connection from the listener's queue
+MAX_EXCESS_CONNECTIONS = 16  # accepted beyond the limit, only to send them an error
+ARRIVAL_RESOLUTION_MS = (
+    10.0  # data that arrives this close together gets one time stamp, to bound their number
+)
+MAX_LOGGED = 50  # rejections that are logged; a flood of them would cost CPU and fill the log
+RESPONSE_COUNTERS = {Served: PASSED, Refused: DROPPED, Failed: BAD_GATEWAY}
 _starts_request = re.compile(rb"[A-Z]{1,16}( |$)").match
 
 
-class Link:
+class ClientConnection:
     """One client's connection."""
 
     def __init__(self, stream, now: float):
         self.stream, self.http = stream, h11.Connection(h11.SERVER)
-        self.scope = trio.CancelScope()  # all that is done on it
-        self.reading: trio.CancelScope | None = None  # the rest of a request that has begun
-        self.waiting: trio.CancelScope | None = None  # between requests; to cancel it closes the connection
-        self.head = b""  # what has come of a request until its head is whole
-        self.since = now  # when it was opened, or last told something without having brought a job
-        self.proven = False  # it has brought a job
-        self.held = 0  # bytes of the body that it has brought and that is still needed, and those ahead of it
-        self.asked_since: float | None = None  # the earliest that a request may have come which waited for us
-        self.hurried = False  # its descriptor is wanted: it does not linger where nothing is unread
-        self._came = deque([(0, now)])  # when so many bytes had come in all, of those not asked about yet
-        self._count = 0  # bytes that have come and went to `http`
-        self.overrun = False  # some of what it sent ahead was thrown away: nothing more is read off it
-
-    def take(self, data: bytes, now: float) -> None:
-        """Bytes have come, at this time."""
-        self._count += len(data)
-        if now - self._came[-1][1] < CAME_MS:
-            now = self._came.pop()[1]
-        self._came.append((self._count, now))
+        self.scope = trio.CancelScope()  # everything that is done on the connection
+        self.reading: trio.CancelScope | None = None  # reading the rest of a request that has begun
+        self.waiting: trio.CancelScope | None = None  # between requests; cancelling it closes the connection
+        self.head = b""  # the bytes of a request until its head is complete
+        self.waiting_since = now  # when it was opened, or when its last request was served
+        self.has_sent_job = False
+        self.held_bytes = (
+            0  # counted against the memory for bodies: of the current body and of pipelined data
+        )
+        self.queued_since: float | None = (
+            None  # earliest arrival of a request that waited in the listener's queue
+        )
+        self.skips_linger = False  # its descriptor is needed: it closes at once unless data is unread
+        self._arrivals = deque(
+            [(0, now)]
+        )  # (total bytes received, time), for bytes whose time is still needed
+        self._received_bytes = 0  # in all, passed to `http`
+        self.discarded_input = False  # some pipelined data was discarded, so no further request can be read
+
+    def receive(self, data: bytes, now: float) -> None:
+        """Pass received bytes to the parser and record when they arrived."""
+        self._received_bytes += len(data)
+        if now - self._arrivals[-1][1] < ARRIVAL_RESOLUTION_MS:
+            now = self._arrivals.pop()[1]
+        self._arrivals.append((self._received_bytes, now))
         self.http.receive_data(data)
 
-    def asked_at(self) -> float:
-        """When the last byte came of the request that was read last; later ones may lie behind it."""
-        whole = self._count - len(self.http.trailing_data[0])
-        while self._came[0][0] < whole:
-            self._came.popleft()
-        return self._came[0][1]
+    def request_arrived_at(self) -> float:
+        """When the last byte of the most recently read request arrived.  Pipelined bytes may follow it."""
+        request_end = self._received_bytes - len(self.http.trailing_data[0])
+        while self._arrivals[0][0] < request_end:
+            self._arrivals.popleft()
+        return self._arrivals[0][1]
 
 
 class Downstream:
-    """Takes connections in, bounded, and serves them until told to close.
+    """Accepts a bounded number of connections and serves them until it is told to close.
 
-    Where there are too many, those go first that have been told an error, then those that have brought no
-    job yet, then those that have been idle longest: connections that say nothing or nonsense must not cost
-    the usual clients theirs.
+    Beyond the limit it closes first connections that got an error, then those that have sent no job yet, then
+    those that have been idle longest.  Silent or misbehaving connections must not displace regular clients.
     """
 
-    def __init__(self, host, wheel, counters, most: int, usual: int, memory: float):
+    def __init__(
+        self, host, wheel, counters, max_connections: int, max_job_connections: int, body_bytes: float
+    ):
         self.host, self.wheel, self.counters = host, wheel, counters
-        self.memory = self.granted = 0.0  # bytes that bodies may still take, and may take together
-        self.links: dict[Link, None] = {}
-        # each in the order in which they came there: the first is the first to go
-        self.leaving: dict[Link, None] = {}
-        self.fresh: dict[Link, None] = {}
-        self.idle: dict[Link, None] = {}
-        self.ids: set[str] = set()  # of the streams that are owed an answer
-        # the stance that the process takes, set by Service
-        self.up = False  # the answer to those who ask whether to send clients here
-        self.closing = False  # connections are closed after each answer, and as soon as they are idle
-        self.ended = False  # all that is open has been answered, and what still comes is at once
-        self._accepting, self._room, self._lingerers = trio.CancelScope(), trio.Event(), 0
+        self.free_body_bytes = self.max_body_bytes = (
+            0.0  # of all bodies together: still free, and the maximum
+        )
+        self.links: dict[ClientConnection, None] = {}
+        # Each in order of insertion: the first one is closed first.
+        self.lingering: dict[ClientConnection, None] = {}
+        self.new: dict[ClientConnection, None] = {}
+        self.idle: dict[ClientConnection, None] = {}
+        self.open_request_ids: set[str] = set()  # of streams without a final response
+        # The serving state of the process, set by Service.
+        self.up = False  # the response to health checks
+        self.closing = False  # connections are closed after each response, and as soon as they are idle
+        self.ended = False  # all open streams have a final response, and new ones get theirs at once
+        self._accepting, self._room, self._large_lingers = trio.CancelScope(), trio.Event(), 0
         self._nursery = None
-        self._queued_since: float | None = None  # since when the listener's queue was not seen empty
-        self.resize(most, usual, memory)
-
-    def resize(self, most: int, usual: int, memory: float) -> None:
-        """Hold no more than this; usual are the connections that clients hold at most for jobs."""
-        self.most, self.kept_most = most, KEPT_SHARE * usual
-        self.memory, self.granted = self.memory + memory - self.granted, memory
-        for _ in range(len(self.links) - most):
+        self._queue_busy_since: float | None = None  # since when the listener's queue was never seen empty
+        self.resize(max_connections, max_job_connections, body_bytes)
+
+    def resize(self, max_connections: int, max_job_connections: int, body_bytes: float) -> None:
+        """Set the limits for all connections, for clients' connections with jobs, and for bodies together."""
+        self.most, self.max_kept = max_connections, JOB_CONNECTIONS_SHARE * max_job_connections
+        self.free_body_bytes, self.max_body_bytes = (
+            self.free_body_bytes + body_bytes - self.max_body_bytes, body_bytes
+        )  # fmt: skip
+        for _ in range(len(self.links) - max_connections):
             self._make_room()
 
     # -- Connections -----------------------------------------------------------------------------
 
     async def listen(self, listener, nursery) -> None:
-        """Take connections in until told to leave."""
+        """Accept connections until stop_accepting."""
         self._nursery = nursery
         with self._accepting:
             while True:
-                while len(self.links) >= self.most + OVERFLOW:
-                    # guards against a crowd that waits in the listener's queue for others to linger
+                while len(self.links) >= self.most + MAX_EXCESS_CONNECTIONS:
+                    # Otherwise a burst would wait in the listener's queue until others finish lingering.
                     self._make_room()
-                    await self._a_link_less()
+                    await self._wait_for_close()
                 if not is_readable(listener.socket):
-                    self._queued_since = None
+                    self._queue_busy_since = None
                 stream = await next_connection(listener, "in.accept_failed")
-                if self._queued_since is None:
-                    self._queued_since = self.host.clock.now()
-                nursery.start_soon(self.serve, stream, self._queued_since)
+                if self._queue_busy_since is None:
+                    self._queue_busy_since = self.host.clock.now()
+                nursery.start_soon(self.serve, stream, self._queue_busy_since)
 
-    async def _a_link_less(self) -> None:
+    async def _wait_for_close(self) -> None:
         self._room = trio.Event()
         await self._room.wait()
 
     def stop_accepting(self) -> None:
-        """Take no connection from now on."""
+        """Accept no more connections."""
         self._accepting.cancel()
 
     async def take_rest(self, listener) -> None:
-        """Take in what stands in the listener's queue, which its close would reset."""
-        while self._nursery and len(self.links) < self.most + OVERFLOW and is_readable(listener.socket):
+        """Accept the connections in the listener's queue, which closing the listener would reset."""
+        while (
+            self._nursery
+            and len(self.links) < self.most + MAX_EXCESS_CONNECTIONS
+            and is_readable(listener.socket)
+        ):
             try:
-                with self.wheel.limit(REST_MS):
+                with self.wheel.limit(ACCEPT_QUEUED_TIMEOUT_MS):
                     self._nursery.start_soon(self.serve, await listener.accept())
             except OSError as problem:
-                # guards the orderly end against a connection that was reset before it was taken
+                # A connection that was reset before it was accepted must not prevent the orderly shutdown.
                 log.warning("in.accept_failed", why=str(problem))
                 return
 
     def close_idle(self) -> None:
-        """Close what stands idle; what has brought no job yet keeps its time for that."""
-        for link in self.idle:
-            link.waiting.cancel()
-        self.wheel.after(CUT_MS, self._cut, [link.reading for link in self.links if link.reading])
-
-    def _cut(self, readings) -> None:
-        """Wait no longer for requests that had begun when connections began to close, if they still do."""
-        for reading in readings if self.closing else ():
-            reading.cancel()
+        """Close idle connections.  Those that have sent no job yet keep their time for it."""
+        for client in self.idle:
+            client.waiting.cancel()
+        self.wheel.after(
+            CLOSING_REQUEST_TIMEOUT_MS,
+            self._cancel_reads,
+            [client.reading for client in self.links if client.reading],
+        )
+
+    def _cancel_reads(self, scopes) -> None:
+        """Stop reading requests that had begun when connections began to close, if they still close."""
+        for scope in scopes if self.closing else ():
+            scope.cancel()
 
     async def empty(self) -> None:
-        """Come back once no connection is left: all that was taken is answered."""
-        for link in self.idle:
-            link.waiting.cancel()
-        # those that came last may bring their first request just now
-        self.wheel.after(CLOSING_MS, self._wait_no_longer)
+        """Return once all connections are closed, and so all accepted requests have a response."""
+        for client in self.idle:
+            client.waiting.cancel()
+        # The newest connections may be sending their first request right now.
+        self.wheel.after(CLOSING_IDLE_TIMEOUT_MS, self._cancel_waits)
         while self.links:
-            await self._a_link_less()
+            await self._wait_for_close()
 
-    def _wait_no_longer(self) -> None:
-        for link in self.links:
-            if link.waiting:
-                link.waiting.cancel()
+    def _cancel_waits(self) -> None:
+        for client in self.links:
+            if client.waiting:
+                client.waiting.cancel()
 
     async def serve(self, stream, queued_since: float | None = None) -> None:
-        """Serve one connection until either side closes it; it came at queued_since at the earliest."""
-        link = Link(stream, self.host.clock.now())
+        """Serve a connection until either side closes it.  It was queued at queued_since at the earliest."""
+        client = ClientConnection(stream, self.host.clock.now())
         if not is_quiet(stream):
-            link.asked_since = queued_since
-        self.links[link] = None
+            client.queued_since = queued_since
+        self.links[client] = None
         self.counters["in.connections"] += 1
         self._make_room()
-        self.fresh[link] = None
+        self.new[client] = None
         try:
-            with link.scope:
-                while await self._serve_one(link):
-                    link.http.start_next_cycle()
-                    self._let_go(link)
-                    self._hold(link, len(link.http.trailing_data[0]))
-                    link.since = self.host.clock.now()
-                self._let_go(link)
-                await self._close_lingering(link)
+            with client.scope:
+                while await self._serve_one(client):
+                    client.http.start_next_cycle()
+                    self._release_bytes(client)
+                    self._hold_bytes(client, len(client.http.trailing_data[0]))
+                    client.waiting_since = self.host.clock.now()
+                self._release_bytes(client)
+                await self._close_lingering(client)
         except BREAKS:
-            pass  # the client is gone, which its stream has been told
+            pass  # the client disconnected, and its stream is already closed
         except Exception:
-            # guards against one connection's surprise taking all others down
+            # An unexpected error on one connection must not close the others.
             log.exception("in.failed")
             self.counters["in.exceptions"] += 1
         finally:
-            self._let_go(link)
-            for group in (self.links, self.leaving, self.fresh, self.idle):
-                group.pop(link, None)
+            self._release_bytes(client)
+            for group in (self.links, self.lingering, self.new, self.idle):
+                group.pop(client, None)
             self._room.set()
             with trio.CancelScope(shield=True):
                 await trio.aclose_forcefully(stream)
 
-    def _hold(self, link: Link, size: int) -> None:
-        link.held += size
-        self.memory -= size
+    def _hold_bytes(self, client: ClientConnection, size: int) -> None:
+        client.held_bytes += size
+        self.free_body_bytes -= size
 
-    def _let_go(self, link: Link) -> None:
-        self.memory += link.held
-        link.held = 0
+    def _release_bytes(self, client: ClientConnection) -> None:
+        self.free_body_bytes += client.held_bytes
+        client.held_bytes = 0
 
     def _make_room(self) -> None:
-        """Close a connection that can be spared if there are too many."""
+        """Beyond the limit, close one connection that can be spared."""
         if len(self.links) <= self.most:
             return
-        for group in (self.leaving, self.fresh, self.idle):
-            for link in group:
+        for group in (self.lingering, self.new, self.idle):
+            for client in group:
                 self.counters["in.shed"] += 1
-                del group[link]
-                link.hurried = True
-                # an idle one has only its wait cancelled: what it has read by then is served first
-                (link.waiting if group is self.idle else link.scope).cancel()
+                del group[client]
+                client.skips_linger = True
+                # Of an idle connection only the wait is cancelled: a request that was already read is served.
+                (client.waiting if group is self.idle else client.scope).cancel()
                 return
 
-    def _thin_out(self) -> None:
-        """Close connections that have been idle longest where clients hold nearly all that they may.
+    def _close_excess_idle(self) -> None:
+        """Close the connections that have been idle longest if clients hold nearly all that they may.
 
-        Guards against clients that open one for each job and let the last ones stand: the bound on what they
-        hold is theirs, so what stands idle keeps them from bringing the next job.
+        Clients have a limit of their own on job connections.  A client that opens a new connection for each
+        job and leaves the old ones idle would reach that limit and could not send its next job.
         """
-        over = len(self.links) - len(self.fresh) - len(self.leaving) - self.kept_most
-        while over > 0 and self.idle:
-            link = next(iter(self.idle))
-            del self.idle[link]
+        excess = len(self.links) - len(self.new) - len(self.lingering) - self.max_kept
+        while excess > 0 and self.idle:
+            client = next(iter(self.idle))
+            del self.idle[client]
             self.counters["in.thinned"] += 1
-            link.waiting.cancel()
-            over -= 1
+            client.waiting.cancel()
+            excess -= 1
 
-    async def _serve_one(self, link: Link) -> bool:
-        """Serve one request; tell whether the connection can carry another."""
+    async def _serve_one(self, client: ClientConnection) -> bool:
+        """Serve one request; return whether the connection can carry another."""
         try:
-            request, body = await self._read(link)
-            if request is None or link.scope.cancel_called:
+            request, body = await self._read(client)
+            if request is None or client.scope.cancel_called:
                 return False
             if request.target == b"/up":
-                await self._respond(link, 200 if self.up else 503, b"")
-                return link.http.our_state is h11.DONE and link.http.their_state is h11.DONE
+                await self._respond(client, 200 if self.up else 503, b"")
+                return client.http.our_state is h11.DONE and client.http.their_state is h11.DONE
             arrival = check_request(request, body, self.host.classes)
-            if arrival.payload.request_id in self.ids:
-                # guards the stream that has this id: its answer must come from its own upstream requests
+            if arrival.payload.request_id in self.open_request_ids:
+                # The open stream with this id must get the response of its own upstream requests.
                 raise Rejection(409, "X-Request-ID is that of an open request")
         except Rejection as problem:
-            await self._reject(link, problem)
+            await self._reject(client, problem)
             return False
         except h11.RemoteProtocolError as problem:
-            # guards against a cycle: h11 raises it from a method of its own, whose frame holds it
+            # Breaks a reference cycle: h11 raises the error in a method whose frame refers to the error.
             problem.__traceback__ = None
-            await self._reject(link, Rejection(problem.error_status_hint, str(problem)))
+            await self._reject(client, Rejection(problem.error_status_hint, str(problem)))
             return False
-        if await self._has_left(link):
+        if await self._has_disconnected(client):
             self.counters["in.client_gone"] += 1
             return False
-        arrival = self._since_it_came(link, arrival)
-        link.proven = True
-        self.fresh.pop(link, None)
-        self._thin_out()
-        self.ids.add(arrival.payload.request_id)
+        arrival = self._with_time_left(client, arrival)
+        client.has_sent_job = True
+        self.new.pop(client, None)
+        self._close_excess_idle()
+        self.open_request_ids.add(arrival.payload.request_id)
         try:
-            answer = await self._answer(link, arrival)
+            response = await self._final_response(client, arrival)
         except Rejection as problem:
-            await self._reject(link, problem)
+            await self._reject(client, problem)
             return False
         finally:
-            self.ids.discard(arrival.payload.request_id)
-        if answer is None:
+            self.open_request_ids.discard(arrival.payload.request_id)
+        if response is None:
             return False
-        await self._tell(link, answer)
-        # once, and only here: what a client that has left was to be told counts under nothing
-        self.counters[end_of(ENDED[type(answer)], arrival.job_class)] += 1
-        return link.http.our_state is h11.DONE and link.http.their_state is h11.DONE and not link.overrun
-
-    def _since_it_came(self, link: Link, arrival: Arrival) -> Arrival:
-        """The same with the time that is left, for a request that waited for an earlier one's answer, or in
-        the listener's queue.
-
-        Guards against telling workers more than is left to the client, and against answers after its time.
-        How long it stood in the queue is not known, only since when that was not empty; so no more than half
-        of its time is taken for gone there.
+        await self._send_final(client, response)
+        # Counted once and only here: a response for a client that has disconnected is not counted.
+        self.counters[end_of(RESPONSE_COUNTERS[type(response)], arrival.job_class)] += 1
+        return (
+            client.http.our_state is h11.DONE
+            and client.http.their_state is h11.DONE
+            and not client.discarded_input
+        )
+
+    def _with_time_left(self, client: ClientConnection, arrival: Arrival) -> Arrival:
+        """Deduct the time for which a request waited behind an earlier one or in the listener's queue.
+
+        Otherwise workers would be given more time than the client has left, and would respond too late.  How
+        long a request was in the queue is not known, only since when the queue was not empty.  So at most
+        half of its time is deducted for the queue.
         """
-        now, left = self.host.clock.now(), arrival.time_left_ms
-        if link.asked_since is not None:
-            stood, link.asked_since = now - link.asked_since, None
-            left -= min(stood, left / 2)
-        return replace(arrival, time_left_ms=min(left, arrival.time_left_ms - (now - link.asked_at())))
+        now, left_ms = self.host.clock.now(), arrival.time_left_ms
+        if client.queued_since is not None:
+            queued_ms, client.queued_since = now - client.queued_since, None
+            left_ms -= min(queued_ms, left_ms / 2)
+        return replace(
+            arrival, time_left_ms=min(left_ms, arrival.time_left_ms - (now - client.request_arrived_at()))
+        )
 
     # -- Reading ---------------------------------------------------------------------------------
 
-    async def _receive(self, link: Link) -> None:
-        data = await link.stream.receive_some(16384)
-        if link.http.their_state is h11.IDLE:
-            link.head += data
-        link.take(data, self.host.clock.now())
+    async def _receive(self, client: ClientConnection) -> None:
+        data = await client.stream.receive_some(16384)
+        if client.http.their_state is h11.IDLE:
+            client.head += data
+        client.receive(data, self.host.clock.now())
 
-    async def _next_event(self, link: Link):
-        while (event := link.http.next_event()) is h11.NEED_DATA:
-            if link.http.they_are_waiting_for_100_continue:
+    async def _next_event(self, client: ClientConnection):
+        while (event := client.http.next_event()) is h11.NEED_DATA:
+            if client.http.they_are_waiting_for_100_continue:
                 go_on = h11.InformationalResponse(status_code=100, headers=[])
-                await link.stream.send_all(link.http.send(go_on))
-            await self._receive(link)
+                await client.stream.send_all(client.http.send(go_on))
+            await self._receive(client)
         return event
 
-    async def _read(self, link: Link):
-        """One whole request, or (None, None) where the client has no more."""
-        link.head = link.http.trailing_data[0]
-        # guards against silent connections: what has brought no job gets no longer for the next
-        limit_ms = FIRST_MS - (self.host.clock.now() - link.since)
-        if not link.head:
-            if link.proven:
-                self.idle[link] = None
-                limit_ms = CLOSING_MS if self.closing else KEEP_MS
-            # guards against the loss of a request that was read as its connection was being closed as idle:
-            # only the wait is cancelled, and where it has read something that is served first
-            with self.wheel.limit(limit_ms) as link.waiting:
-                await self._receive(link)
-            waited, link.waiting = link.waiting, None
-            self.idle.pop(link, None)
+    async def _read(self, client: ClientConnection):
+        """One complete request, or (None, None) if the client sends no more."""
+        client.head = client.http.trailing_data[0]
+        # A connection that has sent no job gets no additional time for it by other requests.
+        timeout_ms = FIRST_REQUEST_TIMEOUT_MS - (self.host.clock.now() - client.waiting_since)
+        if not client.head:
+            if client.has_sent_job:
+                self.idle[client] = None
+                timeout_ms = CLOSING_IDLE_TIMEOUT_MS if self.closing else KEEP_ALIVE_TIMEOUT_MS
+            # Closing an idle connection cancels only this wait.  A request that is read at the same moment is
+            # served first and not lost.
+            with self.wheel.limit(timeout_ms) as client.waiting:
+                await self._receive(client)
+            waited, client.waiting = client.waiting, None
+            self.idle.pop(client, None)
             if waited.cancelled_caught:
-                # guards against the loss of a request that has come while we were too busy to read it
-                if is_quiet(link.stream):
+                # A request that arrived in time must not be lost because the process was too busy to read it.
+                if is_quiet(client.stream):
                     return None, None
-                await self._receive(link)
-        limit_ms = READ_MS if link.proven else FIRST_MS - (self.host.clock.now() - link.since)
+                await self._receive(client)
+        timeout_ms = (
+            REQUEST_TIMEOUT_MS
+            if client.has_sent_job
+            else FIRST_REQUEST_TIMEOUT_MS - (self.host.clock.now() - client.waiting_since)
+        )
         if self.closing:
-            limit_ms = min(limit_ms, CLOSING_MS if self.ended else CUT_MS)
-        with self.wheel.limit(limit_ms) as link.reading:
+            timeout_ms = min(
+                timeout_ms, CLOSING_IDLE_TIMEOUT_MS if self.ended else CLOSING_REQUEST_TIMEOUT_MS
+            )
+        with self.wheel.limit(timeout_ms) as client.reading:
             try:
-                return await self._read_rest(link)
+                return await self._read_rest(client)
             finally:
-                link.reading = None
+                client.reading = None
         if self.closing:
-            raise Rejection(503, "the request did not arrive whole before the end")
-        raise Rejection(408, "the request did not arrive whole in time")
+            raise Rejection(503, "request was incomplete when connections were closed")
+        raise Rejection(408, "request was incomplete at its read timeout")
 
-    async def _read_rest(self, link: Link):
-        request = await self._next_event(link)
+    async def _read_rest(self, client: ClientConnection):
+        request = await self._next_event(client)
         if type(request) is not h11.Request:
             return None, None
-        check_framing(request, link.head)
-        link.head, body = b"", bytearray()
-        while type(event := await self._next_event(link)) is h11.Data:
+        check_framing(request, client.head)
+        client.head, body = b"", bytearray()
+        while type(event := await self._next_event(client)) is h11.Data:
             body += event.data
-            self._hold(link, len(event.data))
-            if len(body) > BODY_MOST:
-                raise Rejection(413, "the body is too large")
-            if self.memory < 0:
-                # guards against being killed for memory by many bodies at once: this one never ran
+            self._hold_bytes(client, len(event.data))
+            if len(body) > MAX_BODY_BYTES:
+                raise Rejection(413, "body is too large")
+            if self.free_body_bytes < 0:
+                # Many bodies at once could get the process killed for its memory.  This job has not run.
                 raise Rejection(503, "too many bodies at once", class_of(request))
         if type(event) is not h11.EndOfMessage:
             return None, None
-        rest = link.http.trailing_data[0]
+        rest = client.http.trailing_data[0]
         if rest and not _starts_request(rest[:17]):
-            raise Rejection(400, "the body is longer than its length")
+            raise Rejection(400, "body is longer than its Content-Length")
         return request, bytes(body)
 
-    # -- Answering -------------------------------------------------------------------------------
+    # -- Responding ------------------------------------------------------------------------------
 
-    async def _answer(self, link: Link, arrival: Arrival):
-        """The stream's final answer, or None if the client leaves first.  Raises Rejection on a flood.
+    async def _final_response(self, client: ClientConnection, arrival: Arrival):
+        """The stream's final response, or None if the client disconnects first.
 
-        All that comes is read, kept or not: a close or reset stands behind the bytes sent before it, and
-        a client that has left must not be sent on.  A half-close counts as leaving, for the socket does
-        not tell the two apart until something is written.
+        Raises Rejection if the client sends too much meanwhile.  All data is read, whether it is kept or not:
+        a close or reset becomes visible only after the bytes that were sent before it, and nothing may be
+        sent upstream for a client that has disconnected.  A half-close counts as a disconnect, since the
+        socket does not tell the two apart until something is written.
         """
-        answers, waiting = [], trio.CancelScope()
+        responses, waiting = [], trio.CancelScope()
 
-        def answer(final):
-            answers.append(final)
+        def respond(response):
+            responses.append(response)
             waiting.cancel()
 
-        stream = self.host.take(arrival, answer)
-        ahead = 0
+        stream = self.host.take(arrival, respond)
+        ahead_bytes = 0
         with waiting:
-            while not answers and ahead <= FLOOD_MOST:
-                data = await self._read_ahead(link)
+            while not responses and ahead_bytes <= MAX_READ_AHEAD_BYTES:
+                data = await self._read_ahead(client)
                 if not data:
                     break
-                ahead += len(data)
-        if not answers and stream is not None:
+                ahead_bytes += len(data)
+        if not responses and stream is not None:
             self.host.client_gone(stream)
-            if ahead > FLOOD_MOST:
-                raise Rejection(413, "too much was sent before the answer")
-        return answers[0] if answers else None
+            if ahead_bytes > MAX_READ_AHEAD_BYTES:
+                raise Rejection(413, "too much data sent before the response")
+        return responses[0] if responses else None
 
-    async def _read_ahead(self, link: Link) -> bytes:
-        """What the client sends while it waits: the next requests, or nothing if it has left."""
+    async def _read_ahead(self, client: ClientConnection) -> bytes:
+        """What the client sends while it waits: pipelined requests, or b"" if it has disconnected."""
         try:
-            data = await link.stream.receive_some(16384)
+            data = await client.stream.receive_some(16384)
         except BREAKS:
             return b""
-        if len(link.http.trailing_data[0]) + len(data) > AHEAD_MOST or self.memory < len(data):
-            link.overrun = True  # guards the memory: the connection can carry nothing more after its answer
-        if not link.overrun:
-            link.take(data, self.host.clock.now())
-            self._hold(link, len(data))
+        if len(client.http.trailing_data[0]) + len(data) > MAX_PIPELINED_BYTES or self.free_body_bytes < len(
+            data
+        ):
+            client.discarded_input = True  # bounds the memory; the connection closes after its response
+        if not client.discarded_input:
+            client.receive(data, self.host.clock.now())
+            self._hold_bytes(client, len(data))
         return data
 
-    async def _has_left(self, link: Link) -> bool:
-        """Whether the client has closed behind the request that was just read.  Nothing is read at the end.
+    async def _has_disconnected(self, client: ClientConnection) -> bool:
+        """Whether the client has closed after the request that was just read.  Does not read once `ended`.
 
-        Guards against sending on for a client that left while its request stood in the listener's queue, or
+        A request must not be sent upstream if its client disconnected while it was in the listener's queue or
         behind an earlier one.
         """
-        ahead = 0
-        while not self.ended and not is_quiet(link.stream) and ahead <= AHEAD_MOST:
-            data = await self._read_ahead(link)
+        ahead_bytes = 0
+        while not self.ended and not is_quiet(client.stream) and ahead_bytes <= MAX_PIPELINED_BYTES:
+            data = await self._read_ahead(client)
             if not data:
                 return True
-            ahead += len(data)
+            ahead_bytes += len(data)
         return False
 
-    async def _tell(self, link: Link, answer) -> None:
-        if isinstance(answer, Served):
-            await self._respond(link, 200, answer.result)
-        elif isinstance(answer, Refused):
-            pause = [("Retry-After", f"{answer.pause_ms / 1000:.3f}")] if answer.pause_ms else []
-            await self._respond(link, 503, b"", pause)
+    async def _send_final(self, client: ClientConnection, response) -> None:
+        if isinstance(response, Served):
+            await self._respond(client, 200, response.result)
+        elif isinstance(response, Refused):
+            pause = [("Retry-After", f"{response.pause_ms / 1000:.3f}")] if response.pause_ms else []
+            await self._respond(client, 503, b"", pause)
         else:
-            assert isinstance(answer, Failed)
-            await self._respond(link, 502, b"")
+            assert isinstance(response, Failed)
+            await self._respond(client, 502, b"")
 
-    async def _reject(self, link: Link, problem: Rejection) -> None:
-        """An error, after which the connection is closed."""
-        self._let_go(link)
+    async def _reject(self, client: ClientConnection, problem: Rejection) -> None:
+        """Send an error, after which the connection is closed."""
+        self._release_bytes(client)
         self.counters["in.rejected"] += 1
-        if self.counters["in.rejected"] <= LOGGED:
+        if self.counters["in.rejected"] <= MAX_LOGGED:
             log.info("in.rejected", status=problem.status, why=str(problem))
-        if link.http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-            await self._respond(link, problem.status, f"{problem}\n".encode(), close=True)
+        if client.http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
+            await self._respond(client, problem.status, f"{problem}\n".encode(), close=True)
             if problem.job_class in self.host.classes:
                 self.counters[end_of(DROPPED, problem.job_class)] += 1
 
-    async def _close_lingering(self, link: Link) -> None:
-        """The one orderly close: stop sending, then throw away what still comes, within bounds.
+    async def _close_lingering(self, client: ClientConnection) -> None:
+        """Close in order: shut down sending, then discard what still arrives, within limits.
 
-        Guards against a reset that overtakes the last answer: the kernel sends one if a connection is closed
-        with bytes unread.  What is read from here on is never served: the client, who sees the end, sends it
-        again elsewhere.
+        If a connection is closed with unread bytes, the kernel sends a reset, which can overtake the last
+        response.  Nothing that arrives from here on is served: the client sees the end of the connection and
+        sends it again elsewhere.
         """
-        self.fresh.pop(link, None)
-        if link.hurried and is_quiet(link.stream):
+        self.new.pop(client, None)
+        if client.skips_linger and is_quiet(client.stream):
             return
-        self.leaving[link] = None
-        seen, more = 0, False
+        self.lingering[client] = None
+        seen_bytes, is_large = 0, False
         try:
-            await link.stream.send_eof()
-            with self.wheel.limit(CLOSING_MS if self.ended else LINGER_MS):
-                while (data := await link.stream.receive_some(65536)) and seen < LINGER_MOST:
-                    seen += len(data)
-                    if seen > LINGER_LEAST and not more:
-                        if self._lingerers >= LINGERERS:
+            await client.stream.send_eof()
+            with self.wheel.limit(CLOSING_IDLE_TIMEOUT_MS if self.ended else LINGER_TIMEOUT_MS):
+                while (data := await client.stream.receive_some(65536)) and seen_bytes < MAX_LINGER_BYTES:
+                    seen_bytes += len(data)
+                    if seen_bytes > LINGER_BYTES and not is_large:
+                        if self._large_lingers >= MAX_LARGE_LINGERS:
                             break
-                        more = True
-                        self._lingerers += 1
+                        is_large = True
+                        self._large_lingers += 1
         finally:
-            self._lingerers -= more
+            self._large_lingers -= is_large
 
-    async def _respond(self, link: Link, status: int, body: bytes, headers=(), close: bool = False) -> None:
+    async def _respond(
+        self, client: ClientConnection, status: int, body: bytes, headers=(), close: bool = False
+    ) -> None:
         headers = [*headers, ("Content-Length", str(len(body)))]
-        # in a drain, what was read ahead of this answer is answered too
-        if close or (self.closing and not link.http.trailing_data[0]) or link.overrun:
+        # During a drain, requests that were read ahead of this response still get theirs.
+        if close or (self.closing and not client.http.trailing_data[0]) or client.discarded_input:
             headers.append(("Connection", "close"))
-        http = link.http
+        http = client.http
         head = http.send(h11.Response(status_code=status, headers=headers))
         data = head + (http.send(h11.Data(data=body)) if body else b"") + http.send(h11.EndOfMessage())
-        with self.wheel.limit(WRITE_MS) as limit:
-            await link.stream.send_all(data)
+        with self.wheel.limit(WRITE_TIMEOUT_MS) as limit:
+            await client.stream.send_all(data)
         if limit.cancelled_caught:
-            raise trio.BrokenResourceError("the client does not take its answer")
+            raise trio.BrokenResourceError("client did not receive its response in time")
--- a/molespur/net/intake.py
+++ b/molespur/net/intake.py
@@ -1,7 +1,7 @@
-"""The one place where a downstream request is checked, before it becomes a stream.
+"""Checks each downstream request before it becomes a stream.
 
-Whatever is wrong with it raises a Rejection, which the connection answers with a 4xx and a close; nothing of
-such a request goes upstream.
+An invalid request raises a Rejection.  The connection responds to it with an error status and closes, and
+nothing of the request is sent upstream.
 """
 
 import re
@@ -12,63 +12,63 @@
 from .host import Arrival
 from .upstream import Payload
 
-BODY_MOST = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024
 ATTRS = {"slots": "slots", "memory": "memory", "x1": "slots", "x2": "memory", "ramUnits": "memory"}
-_whole = re.compile(rb"[0-9]{1,9}").fullmatch
+_is_integer = re.compile(rb"[0-9]{1,9}").fullmatch
 
 
 class Rejection(Exception):
-    """A request that can't be taken in, with its status."""
+    """An invalid request or one that cannot be accepted, with the status of its response."""
 
-    def __init__(self, status: int, why: str, job_class: str | None = None):
-        super().__init__(why[:160])
-        self.status, self.job_class = status, job_class  # the class of a job that is refused here
+    def __init__(self, status: int, reason: str, job_class: str | None = None):
+        super().__init__(reason[:160])
+        self.status, self.job_class = status, job_class  # the class, if this is a valid job that is refused
 
 
 def check_framing(request: h11.Request, head: bytes) -> int:
-    """The length of the body as the head tells it, 0 where it does not; head holds the bytes as they came."""
+    """The Content-Length, 0 without one.  `head` holds the bytes of the head as they were received."""
     fields = dict(request.headers)
     if b"transfer-encoding" in fields and b"content-length" in fields:
-        # guards against a request hidden in another's body: we and a worker might read its end differently
-        raise Rejection(400, "both Content-Length and Transfer-Encoding")
+        # Request smuggling: the scheduler and a worker might see the end of the body at different places.
+        raise Rejection(400, "both Content-Length and Transfer-Encoding are given")
     if head.partition(b"\r\n\r\n")[0].lower().count(b"\ncontent-length:") > 1:
-        # guards against lengths of which the parser has kept one, where another reader might keep the other
+        # Request smuggling: the parser keeps one of the lengths, and another reader might use the other.
         raise Rejection(400, "Content-Length is given twice")
     length = int(fields.get(b"content-length", b"0"))
-    if length > BODY_MOST:
-        raise Rejection(413, "the body is too large")
+    if length > MAX_BODY_BYTES:
+        raise Rejection(413, "body is too large")
     return length
 
 
 def class_of(request: h11.Request) -> str:
-    """The class that the path names."""
+    """The job class named by the path."""
     return request.target.decode("latin-1").lstrip("/").partition("?")[0].partition("/")[0]
 
 
 def check_request(request: h11.Request, body: bytes, classes: dict) -> Arrival:
-    """A whole request in the host's terms."""
+    """Check a complete request and convert it to an Arrival."""
     headers = {}
     for name, value in request.headers:
         if name in headers and name.startswith((b"x-", b"idempotency-")):
             raise Rejection(400, f"{name.decode()} is given twice")
         headers[name] = value.decode("latin-1").strip()
     if request.method != b"POST":
-        raise Rejection(405, "jobs arrive by POST")
+        raise Rejection(405, "method must be POST")
     name = class_of(request)
     given = headers.get(b"x-priority-class", name)
     cls = classes.get(given)
     if cls is None:
-        raise Rejection(404, f"unknown class {given!r}")
+        raise Rejection(404, f"unknown job class {given!r}")
     if given != name:
-        raise Rejection(400, "the path and X-Priority-Class name different classes")
+        raise Rejection(400, "path and X-Priority-Class name different classes")
     request_id = headers.get(b"x-request-id")
     if not request_id:
         raise Rejection(400, "X-Request-ID is missing")
     if cls.key_ttl_ms and cls.effect.value == "keyed" and not headers.get(b"idempotency-key"):
         raise Rejection(400, "Idempotency-Key is missing")
     time_left = headers.get(b"x-timeout-ms")
-    if time_left is not None and not _whole(time_left.encode("latin-1")):
-        raise Rejection(400, "x-timeout-ms: not whole milliseconds")
+    if time_left is not None and not _is_integer(time_left.encode("latin-1")):
+        raise Rejection(400, "x-timeout-ms: not an integer number of milliseconds")
     cost = _number(headers, b"x-cost", None)
     attrs = {"slots": 1.0, "memory": 0.0}
     for part in filter(None, headers.get(b"x-attrs", "").split(",")):
@@ -82,7 +82,7 @@
         Payload(request_id, request.method, request.target, tuple(request.headers.raw_items()), body),
         attrs["slots"] or 1.0,
         attrs["memory"],
-        # any text is a key; the module only compares keys
+        # Any text is a valid key: the decision module only compares keys.
         int.from_bytes(blake2b(key.encode(), digest_size=6).digest()) if key else None,
         None if cost is None else cost / 1000,
         headers.get(b"x-tenant-id"),
@@ -91,7 +91,7 @@
 
 
 def _number(headers: dict, name: bytes, default):
-    """A header that is a number of at least 0."""
+    """The value of a header that must be a number of at least 0."""
     text = headers.get(name)
     if text is None:
         return default
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -60,7 +60,7 @@
         assert site.counters["answered.client_gone"] == 1
         assert site.scheduler.host.open == 0
         assert site.counters["sent.requests"] == 1
-        assert site.scheduler.downstream.memory == site.scheduler.downstream.granted
+        assert site.scheduler.downstream.free_body_bytes == site.scheduler.downstream.max_body_bytes
 
     play()
 
@@ -111,10 +111,10 @@
     held = []
     for _ in range(40):
         await a.send(b"x" * 65536)
-        held.append(site.scheduler.downstream.granted - site.scheduler.downstream.memory)
+        held.append(site.scheduler.downstream.max_body_bytes - site.scheduler.downstream.free_body_bytes)
         if site.counters["in.rejected"]:
             break
-    assert max(held) <= downstream.AHEAD_MOST + 65536
+    assert max(held) <= downstream.MAX_PIPELINED_BYTES + 65536
     assert b" 413 " in await a.read(b"\r\n")
     assert site.scheduler.host.open == 0
 
@@ -157,16 +157,16 @@
 
 
 def test_what_is_noted_of_bytes_that_drip_is_bounded_and_true_to_10_ms():
-    link, whole = downstream.Link(None, 0.0), request("r1")
-    link.take(whole, 0.0)
-    assert type(link.http.next_event()) is h11.Request
+    client, whole = downstream.ClientConnection(None, 0.0), request("r1")
+    client.receive(whole, 0.0)
+    assert type(client.http.next_event()) is h11.Request
     for n in range(5000):  # sent ahead, a byte each 0.2 ms
-        link.take(b"x", 50.0 + n / 5)
-    assert len(link._came) <= 102
-    while type(link.http.next_event()) is not h11.EndOfMessage:
+        client.receive(b"x", 50.0 + n / 5)
+    assert len(client._arrivals) <= 102
+    while type(client.http.next_event()) is not h11.EndOfMessage:
         pass
-    assert link.asked_at() == 0.0
-    assert link._came[-1][1] > 1030.0  # the last that came are not taken for the first
+    assert client.request_arrived_at() == 0.0
+    assert client._arrivals[-1][1] > 1030.0  # the last that came are not taken for the first
 
 
 @on_loopback(wire=SLOW_DIAL)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -242,7 +242,7 @@
         a raw POST /lookup HTTP/1.1
         b raw
         wait 1120
-        a expect 503 whole
+        a expect 503 incomplete
         a expect closed
         wait 1000
         b expect closed""",
@@ -259,7 +259,7 @@
         w1 send r2 done two
         a expect 200 close two
         wait 200
-        b expect 503 whole
+        b expect 503 incomplete
         count upstream_tries 2""",
     "the end of a drain leaves a request in pieces its time": f"""
         program evacuate
@@ -600,7 +600,7 @@
             gc.set_debug(gc.DEBUG_SAVEALL)
             gc.collect()
             found = Counter(type(one).__name__ for one in gc.garbage)
-            ours = ("Stream", "Job", "Attempt", "UpstreamRequest", "Link", "Payload", "Timer")
+            ours = ("Stream", "Job", "Attempt", "UpstreamRequest", "ClientConnection", "Payload", "Timer")
             nursery.cancel_scope.cancel()
         assert not [f"{name}: {found[name]}" for name in ours if found[name]], found
 
