--- a/molespur/net/reload.py
+++ b/molespur/net/reload.py
@@ -1,4 +1,4 @@
-"""The configuration read again: taken whole, or not at all."""
+"""Reloads the configuration, completely or not at all."""
 
 import os
 from collections.abc import Callable
@@ -14,9 +14,9 @@
 
 
 class Reload:
-    """Keeps the configuration in force, and changes it when told to.
+    """Holds the running configuration and replaces it on request.
 
-    `swap` takes a checked configuration, and the settings that hold for now, over into all parts at once.
+    `swap` applies a checked configuration, and the settings in force for now, to all parts in one step.
     """
 
     def __init__(
@@ -30,39 +30,39 @@
     ):
         self.running, self.swap, self.source = running, swap, source
         self.wheel, self.counters, self.environ = wheel, counters, environ
-        self.in_force = running.settings  # between two configurations it is neither's
-        self._following = None
+        self.in_force = running.settings  # during a change: a combination of the old and the new settings
+        self._pending = None  # the timer that ends a change
 
     def __call__(self) -> None:
-        """Read the configuration again.  Another source than discovery reads again what it stands on."""
+        """Read the configuration again.  A source other than discovery also reads its own input again."""
         self.counters["reload.asked"] += 1
-        discovers = isinstance(self.source, Discovery)
+        uses_discovery = isinstance(self.source, Discovery)
         try:
-            given = configuration.load(self.environ, self.running, discovers)
-            check_whole(self.running.raw, given.raw)
+            loaded = configuration.load(self.environ, self.running, uses_discovery)
+            check_whole(self.running.raw, loaded.raw)
         except Exception as problem:
-            # guards against a file that can't be used ending a program that serves
+            # An unusable file must not end a process that is serving.
             self.counters[LOAD_ERRORS] += 1
-            log.error("reload.failed", why=str(problem), then="the running configuration stays")
+            log.error("reload.failed", why=str(problem), then="keeping the running configuration")
             return
         self.counters[LOADS] += 1
-        if keys := configuration.needs_restart(self.running, given):
+        if keys := configuration.needs_restart(self.running, loaded):
             log.warning("reload.needs_restart", keys=", ".join(keys))
-        moved = given.discovery != self.running.discovery
-        self.running = configuration.after_reload(self.running, given)
+        moved = loaded.discovery != self.running.discovery
+        self.running = configuration.after_reload(self.running, loaded)
         log.info(
             "reload.done",
-            discovery="{}:{}".format(*given.discovery) if given.discovery[1] else None,
-            classes=", ".join(c.name for c in given.settings.classes),
+            discovery="{}:{}".format(*loaded.discovery) if loaded.discovery[1] else None,
+            classes=", ".join(c.name for c in loaded.settings.classes),
         )
-        self._hold(between(self.in_force, given.settings))
-        if self._following is not None:
-            self._following.cancel()
-        self._following = self.wheel.after(FOLLOW_MS, self._hold, given.settings)
-        if moved or not discovers:
-            self.source.move(given.discovery)
+        self._put_in_force(between(self.in_force, loaded.settings))
+        if self._pending is not None:
+            self._pending.cancel()
+        self._pending = self.wheel.after(FOLLOW_MS, self._put_in_force, loaded.settings)
+        if moved or not uses_discovery:
+            self.source.move(loaded.discovery)
 
-    def _hold(self, settings: Settings) -> None:
-        """From now on these settings hold."""
+    def _put_in_force(self, settings: Settings) -> None:
+        """Apply these settings from now on."""
         self.in_force = settings
         self.swap(self.running, settings)
--- a/molespur/net/service.py
+++ b/molespur/net/service.py
@@ -1,4 +1,4 @@
-"""Carries out the stance that the process's state machine gives; holds no rule of its own."""
+"""Applies the serving state that the process's state machine computes.  Has no rules of its own."""
 
 import trio
 
@@ -9,33 +9,33 @@
 
 
 class Service:
-    """The process as a service: what it is told, and what follows for clients' connections and streams."""
+    """Passes events to the process's state machine and applies its state to connections and streams."""
 
     def __init__(self, downstream, host, clock, wheel):
         self.process = Process()
         self.downstream, self.host, self.clock, self.wheel = downstream, host, clock, wheel
-        self.left = trio.Event()  # the listener is to be closed
+        self.stopped_accepting = trio.Event()  # the listener is to be closed
         self._timer = None
-        self._taken = self.stance()
+        self._applied = self.stance()
         self.retune(host.settings)
 
     def stance(self) -> Stance:
         return self.process.stance(self.clock.now())
 
     def retune(self, settings) -> None:
-        """Other settings hold: a stop takes as long as the longest deadline asks."""
+        """Apply new settings.  A stop takes as long as the longest deadline of a job class."""
         self.process.longest_ms = max(c.deadline_ms for c in settings.classes)
-        self._take_stance()
+        self._apply_stance()
 
     def tell(self, told: Told) -> str | None:
-        """Something has happened; the answer says why it can't be done, if so."""
-        why = self.process.tell(self.clock.now(), told)
-        self._take_stance()
-        return why
+        """Handle an event; return the reason if it is refused, else None."""
+        refusal = self.process.tell(self.clock.now(), told)
+        self._apply_stance()
+        return refusal
 
-    def _take_stance(self) -> None:
-        now, before = self.clock.now(), self._taken
-        stance = self._taken = self.process.stance(now)
+    def _apply_stance(self) -> None:
+        now, before = self.clock.now(), self._applied
+        stance = self._applied = self.process.stance(now)
         if stance.phase is not before.phase:
             log.info("service.phase", now=stance.phase.value, before=before.phase.value)
         self.downstream.up = stance.up
@@ -46,19 +46,19 @@
             self.host.upstream.keep(stance.keeping)
         if before.accepting and not stance.accepting:
             self.downstream.stop_accepting()
-            self.left.set()
+            self.stopped_accepting.set()
         if stance.ended and not before.ended:
             self.host.end_all()
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         if stance.until != float("inf"):
-            self._timer = self.wheel.after(stance.until - now, self._take_stance)
+            self._timer = self.wheel.after(stance.until - now, self._apply_stance)
 
     async def gone(self, listener) -> None:
-        """Come back once the listener is left and all that was taken is answered."""
-        await self.left.wait()
+        """Return once the listener is closed and all accepted requests have a response."""
+        await self.stopped_accepting.wait()
         await self.downstream.take_rest(listener)
-        # guards against connections that nobody will ever take: from now on they are refused
+        # From now on connections are refused; otherwise they would stay in the queue and never be accepted.
         await listener.aclose()
         await self.downstream.empty()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -145,7 +145,7 @@
         for content, named in (("{nonsense", "JSON"), (json.dumps(changed("discovery", "x")), "discovery")):
             path.write_text(content)
             program.send_signal(signal.SIGHUP)
-            assert named in read_to("the running configuration stays")
+            assert named in read_to("keeping the running configuration")
         new = "{}:{}".format(*discovery.getsockname())
         path.write_text(json.dumps(changed("discovery", new) | {"listen": "127.0.0.9:80"}))
         program.send_signal(signal.SIGHUP)
