--- a/molespur/net/cluster.py
+++ b/molespur/net/cluster.py
@@ -1,8 +1,8 @@
-"""The cluster: the upstream hosts that are listed, whatever source lists them.
+"""The cluster: the listed upstream hosts, independent of the source that lists them.
 
-A *source* finds out about upstream hosts (the platform's discovery, a registry, a file) and tells the
-cluster.  It has `start()`, `watch()` (the module asks for changes) and `move(address)` (on a reload).  The
-rules on drains and listing are kept here and in the host, and so hold for each source.
+A *source* (the platform's discovery, a registry, a file) finds upstream hosts and updates the cluster.  It
+has `start()`, `watch()` (the decision module asks for changes) and `move(address)` (on a reload).  The rules
+on drains and listing are enforced here and in the host, so they apply to every source.
 """
 
 from collections.abc import Sequence
@@ -15,19 +15,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Placed:
-    """A worker as listed, and where it is reached."""
+    """A worker as listed, and its address."""
 
     entry: WorkerEntry
     address: tuple[str, int]
 
     @classmethod
     def from_target(cls, target, from_unix) -> "Placed":
-        """One of the platform's entries.  Raises ConfigError for an endpoint that is none."""
+        """Convert an entry of the platform's list.  Raises ConfigError for an invalid endpoint."""
         return cls(worker_entry(target, from_unix), parse_address(target.endpoint, "endpoint"))
 
 
 class Source(Protocol):
-    """Where the cluster's list comes from."""
+    """Lists upstream hosts for the cluster."""
 
     def start(self) -> None: ...
 
@@ -37,26 +37,26 @@
 
 
 class Cluster:
-    """The list as last told: who is in service is known here at once, and told to the decision module."""
+    """The current list of upstream hosts.  Changes apply here at once, then go to the decision module."""
 
     def __init__(self, known, clock, host, upstream):
         self.known, self.clock, self.host, self.upstream = known, clock, host, upstream
         self.lives: dict[str, Lifecycle] = {}
-        self.placed: dict[str, Placed] = {}  # those that are listed, as they were told
+        self.placed: dict[str, Placed] = {}  # the listed workers, as last received
         self.source: Source | None = None  # set before start
 
     def lifecycle(self, uid: str) -> Lifecycle | None:
-        """Where an upstream host is in its life; None if the list does not name it (any more)."""
+        """The lifecycle state of an upstream host; None if it is not listed."""
         return self.lives.get(uid)
 
     def known_and_skipped(self) -> tuple[int, int]:
-        """How many upstream hosts are listed, and how many of these get nothing now."""
+        """How many upstream hosts are listed, and how many of these get no work now."""
         avoided = self.host.dispatcher.avoided(self.clock.now())
         skipped = [u for u, life in self.lives.items() if u in avoided or life is not Lifecycle.IN_SERVICE]
         return len(self.lives), len(skipped)
 
     def start(self) -> None:
-        """Begin with the list that this scheduler last held."""
+        """Apply the list from the configuration, then start the source."""
         try:
             placed = [Placed.from_target(target, self.clock.from_unix) for target in self.known.targets]
         except ConfigError as problem:
@@ -65,11 +65,11 @@
         self.source.start()
 
     def watch(self) -> None:
-        """The decision module asks for changes from now on."""
+        """Handle the decision module's request for changes."""
         self.source.watch()
 
     def take(self, placed: Sequence[Placed], mode: NewsMode) -> None:
-        """Take a list or changes in, and tell the module."""
+        """Apply a list or changes to it, and notify the decision module."""
         if mode is not NewsMode.PARTIAL:
             for uid in self.lives.keys() - {p.entry.worker for p in placed}:
                 del self.lives[uid], self.placed[uid]
@@ -78,27 +78,27 @@
         self.tell(tuple(p.entry for p in placed), mode)
 
     def note(self, placed: Sequence[Placed]) -> None:
-        """Hold to changes at once, before the module is told: nothing new goes to a worker not in service."""
+        """Apply changes here before the module is notified: a worker not in service gets no new requests."""
         for one in placed:
             entry = one.entry
             if entry.lifecycle is Lifecycle.GONE:
-                # nothing is kept of it: ever new names must not take ever more memory
+                # Nothing is kept of removed workers, so that new names do not take ever more memory.
                 self.lives.pop(entry.worker, None)
                 self.placed.pop(entry.worker, None)
                 self.upstream.drop(entry.worker)
             else:
                 self.lives[entry.worker], self.placed[entry.worker] = entry.lifecycle, one
-                wanted = entry.lifecycle is Lifecycle.IN_SERVICE
-                self.upstream.place(entry.worker, one.address, entry.born_ms, wanted)
+                accepts_work = entry.lifecycle is Lifecycle.IN_SERVICE
+                self.upstream.place(entry.worker, one.address, entry.born_ms, accepts_work)
 
     def tell(self, entries: tuple[WorkerEntry, ...], mode: NewsMode = NewsMode.PARTIAL) -> None:
-        """Tell the module of entries that are already noted."""
+        """Notify the decision module of entries that are already applied here."""
         self.host.deliver(FleetNews(mode, entries))
 
     def unchanged(self) -> None:
-        """Nothing has changed since the list we hold: that, too, answers the module's Watch."""
+        """Report that nothing has changed, which also fulfills the decision module's Watch."""
         self.tell(())
 
     def lost(self) -> None:
-        """The source has lost its watch; the module asks again by itself."""
+        """Report that the source lost its watch.  The decision module then asks again by itself."""
         self.host.deliver(FleetNews(NewsMode.ERROR))
--- a/molespur/net/counters.py
+++ b/molespur/net/counters.py
@@ -1,22 +1,22 @@
-"""What a scheduler took in, sent and answered, counted since its start."""
+"""Counters of what a scheduler has accepted, sent and responded since its start."""
 
 from collections import Counter
 
 import msgspec
 
-PASSED, DROPPED, BAD_GATEWAY = ENDS = ("passed", "dropped", "bad_gateway")  # jobs, by their final answer
-TRIES = "upstream_tries"  # upstream requests written whole
-LOADS, LOAD_ERRORS = "loads", "load_errors"  # configurations taken and turned down while running
+PASSED, DROPPED, BAD_GATEWAY = ENDS = ("passed", "dropped", "bad_gateway")  # jobs by their final response
+TRIES = "upstream_tries"  # completely written upstream requests
+LOADS, LOAD_ERRORS = "loads", "load_errors"  # reloads of the configuration that succeeded and failed
 
 
 def end_of(end: str, job_class: str) -> str:
-    """The counter of jobs of a class that ended one way."""
+    """The name of the counter of a class's jobs with this final response."""
     return f"{end}.{job_class}"
 
 
 class Counters(Counter):
-    """Counts under dotted names: in.*, sent.*, answered.*, and what went wrong."""
+    """Counters with dotted names: in.*, sent.*, answered.* and those of faults."""
 
     def line(self, name: str) -> str:
-        """All counts as one line for the log."""
+        """All counters as one log line."""
         return f"counters {name} " + msgspec.json.encode(dict(sorted(self.items()))).decode()
--- a/molespur/net/failure.py
+++ b/molespur/net/failure.py
@@ -1,4 +1,4 @@
-"""How an upstream request ended, as values that carry how far it had come."""
+"""Results of upstream requests.  A failure records how far the request had come."""
 
 from dataclasses import dataclass
 from enum import Enum, IntEnum
@@ -7,7 +7,7 @@
 
 
 class Stage(IntEnum):
-    """How far an upstream request had come.  From SENT on its last byte is written, so it may have run."""
+    """How far an upstream request has come.  From SENT on its last byte is written, so it may have run."""
 
     CONNECTING = 0
     WRITING = 1
@@ -16,15 +16,15 @@
 
 
 class Cause(Enum):
-    """What ended an upstream request that was not served."""
-
-    BROKEN = "the connection was refused, broke or ended early"
-    TIMED_OUT = "no answer in time"
-    MALFORMED = "the answer made no sense"
-    TURNED_AWAY = "turned away or handed back unstarted"
-    ERROR = "answered with an error"
-    LOST = "the job was killed"
-    CANCELLED = "called off"
+    """Why an upstream request failed."""
+
+    BROKEN = "connection was refused, broke or ended early"
+    TIMED_OUT = "no response in time"
+    MALFORMED = "malformed response"
+    TURNED_AWAY = "rejected or handed back before the job started"
+    ERROR = "error response"
+    LOST = "job was killed"
+    CANCELLED = "cancelled"
     NOT_SENT = "never sent"
 
 
@@ -39,8 +39,11 @@
 
     @property
     def outcome(self) -> Outcome:
-        """What the rules make of it.  Only a request that was not written whole, or was said to be
-        unprocessed, is proved never to have run."""
+        """The outcome for the decision module.
+
+        A request has provably never run only if it was not written completely, or if the upstream host states
+        that it was not processed.
+        """
         if self.cause is Cause.CANCELLED:
             return Outcome.CANCELLED
         if self.cause is Cause.NOT_SENT:
@@ -56,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Served:
-    """An upstream request whose worker gave a result."""
+    """An upstream request that returned a result."""
 
     result: bytes
     report: dict[str, float] | None = None
--- a/molespur/net/listening.py
+++ b/molespur/net/listening.py
@@ -1,4 +1,4 @@
-"""The sockets that the program listens on."""
+"""Opens listening sockets and accepts connections from them."""
 
 import contextlib
 import errno
@@ -10,21 +10,21 @@
 
 log = logs.get(__name__)
 BACKLOG = 1024
-ACCEPT_AGAIN_S, ACCEPT_AGAIN_MOST_S = 0.01, 0.1  # without descriptors
-BIND_S = 5.0  # the address may still be held by the process before us
+MIN_ACCEPT_RETRY_S, MAX_ACCEPT_RETRY_S = 0.01, 0.1  # delay before the next try without free descriptors
+BIND_TIMEOUT_S = 5.0  # the predecessor process may still hold the address
 
 
 async def _bind(address: tuple[str, int], shared: bool) -> trio.SocketListener:
     found = await trio.socket.getaddrinfo(*address, type=trio.socket.SOCK_STREAM)
-    family, *_, place = found[0]
+    family, *_, bind_address = found[0]
     sock = trio.socket.socket(family)
     try:
         sock.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_REUSEADDR, 1)
         if shared:
-            # a platform without it serves all the same, but is not replaced beside itself
+            # Without SO_REUSEPORT the scheduler still works, but no second process can take over from it.
             with contextlib.suppress(OSError):
                 sock.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_REUSEPORT, 1)
-        await sock.bind(place)
+        await sock.bind(bind_address)
         sock.listen(BACKLOG)
     except BaseException:
         sock.close()
@@ -33,12 +33,12 @@
 
 
 async def next_connection(listener, event: str):
-    """The next connection; one that was reset before it was taken is logged and passed over.
+    """Accept the next connection.  Logs and skips one that was reset before it was accepted.
 
-    Guards against a loop that dies of it, and against one that spins, and floods the log, where the process
-    has no descriptor left (the reserves are there so that it has).
+    A failed accept must not end the caller's loop.  If the process has no free descriptor, which its reserve
+    should prevent, the retry delay keeps the loop from spinning and from flooding the log.
     """
-    wait_s = ACCEPT_AGAIN_S
+    wait_s = MIN_ACCEPT_RETRY_S
     while True:
         try:
             return await listener.accept()
@@ -47,22 +47,22 @@
                 log.warning(event, why=str(problem))
                 await trio.lowlevel.checkpoint()
                 continue
-            if wait_s == ACCEPT_AGAIN_S:
+            if wait_s == MIN_ACCEPT_RETRY_S:
                 log.warning(event, why=str(problem))
             await trio.sleep(wait_s)
-            wait_s = min(2 * wait_s, ACCEPT_AGAIN_MOST_S)
+            wait_s = min(2 * wait_s, MAX_ACCEPT_RETRY_S)
 
 
 async def open_listener(address: tuple[str, int], key: str, shared: bool = False) -> trio.SocketListener:
-    """Listen on this address only, waiting a little for it to come free.
+    """Listen on this address, waiting up to BIND_TIMEOUT_S for it to become free.
 
-    A shared one may be listened on by a second process of ours, which is to replace this one.
+    On a shared address a second process can listen too: the successor of this one.
     """
-    until = trio.current_time() + BIND_S
+    deadline = trio.current_time() + BIND_TIMEOUT_S
     while True:
         try:
             return await _bind(address, shared)
         except OSError as problem:
-            if problem.errno != errno.EADDRINUSE or trio.current_time() > until:
+            if problem.errno != errno.EADDRINUSE or trio.current_time() > deadline:
                 raise ConfigError(f"{key}: {address}: {problem}") from None
         await trio.sleep(0.05)
--- a/molespur/net/wheel.py
+++ b/molespur/net/wheel.py
@@ -1,4 +1,4 @@
-"""The one clock and the one timer wheel of a scheduler."""
+"""The clock and the timer wheel of a scheduler."""
 
 import time
 from collections.abc import Callable
@@ -9,15 +9,15 @@
 from .. import logs
 
 log = logs.get(__name__)
-SLOTS = 1024  # with ticks of 4 ms one turn takes 4 s, so that most timers are looked at once or twice
+SLOTS = 1024  # with ticks of 4 ms one revolution takes 4 s, so most timers are visited once or twice
 
 
 class Clock:
-    """Monotonic milliseconds, set to Unix time once at start.
+    """Monotonic milliseconds, aligned with Unix time once at start.
 
-    Workers' starts come as Unix time and the decision module compares them with each other and with
-    0 for long ago.  Anchored this way, a start before our own still compares as later than 0, and the
-    same start converts to the same figure each time however the system's clock is stepped.
+    Workers report their start as Unix time.  The decision module compares these times with each other and
+    with 0, which means long ago.  Because of the alignment, a start before the scheduler's own is still later
+    than 0, and the same start always converts to the same time, even if the system clock is stepped.
     """
 
     def __init__(self):
@@ -27,12 +27,12 @@
         return trio.current_time() * 1000 + self._offset
 
     def from_unix(self, unix_ms: float) -> float:
-        """The clock's reading at a Unix time; 0 stays 0, which means long ago."""
+        """Convert a Unix time to this clock's time.  0, which means long ago, stays 0."""
         return float(unix_ms)
 
 
 class Timer:
-    """One pending call, which can be called off."""
+    """One pending call, which can be cancelled."""
 
     __slots__ = ("args", "call", "tick")
 
@@ -40,25 +40,25 @@
         self.tick, self.call, self.args = tick, call, args
 
     def cancel(self) -> None:
-        self.call, self.args = None, ()  # what it held is free at once, not at its tick
+        self.call, self.args = None, ()  # releases the references at once, not at the timer's tick
 
 
 class Wheel:
-    """A hashed timing wheel: calls come at the first tick at or after their time, in order of request."""
+    """A hashed timing wheel.  A timer fires at the first tick at or after its time, in order of creation."""
 
     def __init__(self, tick_ms: float):
         self.tick_ms = tick_ms
         self._slots: list[list[Timer]] = [[] for _ in range(SLOTS)]
         self._done = self._tick_now()
         self._sleeping = None
-        self.late_ms = 0.0  # by how much the loop came to a tick too late at most
+        self.late_ms = 0.0  # the longest delay with which the loop has handled a tick
 
     def _tick_now(self) -> int:
-        # guards against a wake-up at a tick that rounding puts just before it: the wheel would spin on it
+        # Rounding may put a wake-up just before its tick, and the wheel would then spin until the tick.
         return int(trio.current_time() * 1000 / self.tick_ms + 1e-6)
 
     def after(self, delay_ms: float, call: Callable, *args) -> Timer:
-        """Call once delay_ms have passed, at the next tick."""
+        """Schedule a call at the first tick after delay_ms."""
         due = trio.current_time() * 1000 + max(delay_ms, 0.0)
         tick = max(int(-(-due // self.tick_ms)), self._done + 1)
         timer = Timer(tick, call, args)
@@ -69,7 +69,7 @@
 
     @contextmanager
     def limit(self, delay_ms: float):
-        """Cancel what runs inside after delay_ms; the scope tells whether that was so."""
+        """Cancel the block after delay_ms.  The scope's `cancelled_caught` shows whether that happened."""
         with trio.CancelScope() as scope:
             timer = self.after(delay_ms, scope.cancel)
             try:
@@ -78,7 +78,7 @@
                 timer.cancel()
 
     def _next_tick(self) -> int | None:
-        """The next tick worth waking for: the first slot in use within a turn."""
+        """The tick of the first slot in use within one revolution, or None."""
         for tick in range(self._done + 1, self._done + 1 + SLOTS):
             if self._slots[tick % SLOTS]:
                 return tick
@@ -100,11 +100,11 @@
         try:
             timer.call(*timer.args)
         except Exception:
-            # guards against one timer's surprise stopping all the others
+            # An error in one timer's call must not stop the other timers.
             log.exception("wheel.failed")
 
     async def run(self) -> None:
-        """Turn the wheel for good."""
+        """Fire timers until cancelled."""
         while True:
             tick = self._next_tick()
             with trio.CancelScope() as self._sleeping:
