--- a/molespur/fleet/uses.py
+++ b/molespur/fleet/uses.py
@@ -95,12 +95,16 @@
         """Join both sides, and take the program's hooks."""
         self.machine, self.tell, share, host = machine, tell, machine.share, self.host
         self.fresh_ms, self.adapts = share.margin_ms / 2, adapts
-        host.observe, host.cold_use, host.freshen = self._ended, self._cold_use, freshen
-        host.sending, host.answered, host.pause = self._sending, self._answered, self._pause
+        host.on_attempt_ended, host.on_cold_use, host.refresh_shared_state = (
+            self._ended,
+            self._cold_use,
+            freshen,
+        )
+        host.on_send, host.on_final_response, host.adjust_pause = self._sending, self._answered, self._pause
         if share.priorities:
-            host.draw = self._draw
+            host.draw_for_job = self._draw
         if machine.watching is not None:
-            host.probed = self._probed
+            host.on_probe_report = self._probed
         if CONNECTIONS in share.kinds:
             self.upstream.may_open = self._may_open
 
@@ -144,7 +148,7 @@
             if COLD in kinds and born and now - born < self.host.settings.cold_ms:
                 parts[uid] = machine.available(f"{COLD}/{uid}", now)
         self._list()
-        self.host.fresh_until = now + self.fresh_ms
+        self.host.shared_state_valid_until = now + self.fresh_ms
         watched = machine.watching.watched if machine.watching is not None else None
         shed = dict(zip(self.names, machine.shed(now), strict=False))
         news = SharedNews(parts, frozenset(machine.bad(now)), self._retries(now), watched, shed)
--- a/molespur/net/host.py
+++ b/molespur/net/host.py
@@ -87,19 +87,23 @@
         self._next_number = 1
         self._queue, self._handling = deque(), False
         # Hooks for the state that schedulers share (fleet/uses.py); None without shared state.
-        self.observe: Callable[[str, str, Outcome, float], None] | None = None
-        self.sending: Callable[[str, bool], None] | None = None  # worker, whether it is a retry
-        self.answered: Callable[[Stream, FinalResponse], None] | None = None
-        self.probed: Callable[[str, dict[str, float]], None] | None = None
-        self.draw: Callable[[str], float] | None = None  # a number from 0 to 1 for an idempotency key
-        self.pause: Callable[[float], float] | None = None  # the pause that is sent to a refused client
-        self.cold_use: Callable[[io.ColdUse], None] | None = None
-        self.freshen: Callable[[], None] | None = None
-        self.fresh_until = float("inf")  # from this time on the shared state must be read again before use
+        self.on_attempt_ended: Callable[[str, str, Outcome, float], None] | None = None
+        self.on_send: Callable[[str, bool], None] | None = None  # worker, whether it is a retry
+        self.on_final_response: Callable[[Stream, FinalResponse], None] | None = None
+        self.on_probe_report: Callable[[str, dict[str, float]], None] | None = None
+        self.draw_for_job: Callable[[str], float] | None = None  # a number from 0 to 1 for an idempotency key
+        self.adjust_pause: Callable[[float], float] | None = (
+            None  # the pause that is sent to a refused client
+        )
+        self.on_cold_use: Callable[[io.ColdUse], None] | None = None
+        self.refresh_shared_state: Callable[[], None] | None = None
+        self.shared_state_valid_until = float(
+            "inf"
+        )  # from this time on the shared state must be read again before use
         self._handlers = {
             io.Send: self._send, io.Cancel: self._cancel, io.Refuse: self._refuse, io.Fail: self._fail,
             io.SetTimer: self._set_timer, io.Watch: self._watch, io.Probe: self._probe,
-            io.ColdUse: lambda action: self.cold_use(action),
+            io.ColdUse: lambda action: self.on_cold_use(action),
         }  # fmt: skip
 
     def connect(self, upstream, cluster) -> None:
@@ -126,10 +130,14 @@
         Events that arise while an action is executed are queued.  The module is never called while it or its
         actions are running, and it receives events in the order in which they happened.
         """
-        if self.freshen is not None and not self._handling and self.clock.now() >= self.fresh_until:
+        if (
+            self.refresh_shared_state is not None
+            and not self._handling
+            and self.clock.now() >= self.shared_state_valid_until
+        ):
             # A process that was suspended or got no CPU must not use shares and budgets that have expired.
-            self.fresh_until = float("inf")
-            self.freshen()
+            self.shared_state_valid_until = float("inf")
+            self.refresh_shared_state()
         self._queue.append(event)
         if self._handling:
             return
@@ -170,8 +178,8 @@
         self.streams[stream.number] = stream
         overdue_in_ms = arrival.time_left_ms + OVERDUE_MARGIN_MS
         stream.overdue_timer = self.wheel.after(overdue_in_ms, self._fail_overdue, stream)
-        if self.draw is not None:
-            stream.draw = self.draw(arrival.job)
+        if self.draw_for_job is not None:
+            stream.draw = self.draw_for_job(arrival.job)
         event = io.Submitted(
             stream.number, arrival.job_class, arrival.time_left_ms, arrival.slots, arrival.memory,
             arrival.key, arrival.work_hint_ms, arrival.tenant, stream.draw,
@@ -244,15 +252,17 @@
 
         def ended(result):
             timer.cancel()
-            if self.observe is not None:
-                self.observe(action.worker, stream.arrival.job_class, result.outcome, self.clock.now() - now)
+            if self.on_attempt_ended is not None:
+                self.on_attempt_ended(
+                    action.worker, stream.arrival.job_class, result.outcome, self.clock.now() - now
+                )
             self.ended(stream, number, self.clock.now() - now, result)
 
         def progressed(share):
             self.progressed(stream, number, share)
 
-        if self.sending is not None:
-            self.sending(action.worker, stream.last_outcome is not None)
+        if self.on_send is not None:
+            self.on_send(action.worker, stream.last_outcome is not None)
         if stream.last_outcome is not None:
             self.counters[f"retries.after_{stream.last_outcome.name.lower()}"] += 1
         until = now + timeout_ms
@@ -269,7 +279,7 @@
             attempts[0].abandon(Cause.CANCELLED)
 
     def _refuse(self, action: io.Refuse) -> None:
-        pause_ms = action.pause_ms if self.pause is None else self.pause(action.pause_ms)
+        pause_ms = action.pause_ms if self.adjust_pause is None else self.adjust_pause(action.pause_ms)
         self._respond(action.request, Refused(pause_ms))
 
     def _fail(self, action: io.Fail) -> None:
@@ -292,8 +302,8 @@
 
         def ended(outcome: Outcome, report):
             self.counters[f"probes.{outcome.name.lower()}"] += 1
-            if self.probed is not None and outcome is Outcome.OK:
-                self.probed(action.worker, report or {})
+            if self.on_probe_report is not None and outcome is Outcome.OK:
+                self.on_probe_report(action.worker, report or {})
             self.deliver(io.ProbeEnded(action.worker, outcome, self.clock.now() - started, report))
 
         self.upstream.probe(action.worker, ended)
@@ -322,8 +332,8 @@
         """Send the stream's only final response."""
         self.counters[f"answered.{type(response).__name__.lower()}"] += 1
         self._close(stream)
-        if self.answered is not None:
-            self.answered(stream, response)
+        if self.on_final_response is not None:
+            self.on_final_response(stream, response)
         stream.respond(response)
 
     def _close(self, stream: Stream) -> None:
