--- a/molespur/fleet/uses.py
+++ b/molespur/fleet/uses.py
@@ -231,7 +231,7 @@
 
     def _answered(self, stream, answer) -> None:
         """Count what became of a job, for the fleet's load."""
-        arrival, took_ms = stream.arrival, self.clock.now() - stream.since
+        arrival, took_ms = stream.arrival, self.clock.now() - stream.arrived_at
         name, cls = arrival.job_class, self.host.classes.get(arrival.job_class)
         self._loads[name, "offered"] += 1
         if isinstance(answer, Served):
--- a/molespur/net/host.py
+++ b/molespur/net/host.py
@@ -53,8 +53,18 @@
     """One client request.  It gets exactly one final response and is attempted by upstream requests."""
 
     __slots__ = (
-        "arrival", "attempts", "closed", "deadline", "draw", "in_flight", "last_outcome",
-        "max_attempts", "number", "overdue_timer", "respond", "since",
+        "arrival",
+        "arrived_at",
+        "attempts",
+        "closed",
+        "deadline",
+        "draw",
+        "in_flight",
+        "last_outcome",
+        "max_attempts",
+        "number",
+        "overdue_timer",
+        "respond",
     )  # fmt: skip
 
     def __init__(
@@ -66,7 +76,7 @@
         respond: Callable[[FinalResponse], None],
     ):
         self.max_attempts = max_attempts  # from the settings in force when the stream was accepted
-        self.arrival, self.since, self.draw = arrival, deadline - arrival.time_left_ms, 1.0
+        self.arrival, self.arrived_at, self.draw = arrival, deadline - arrival.time_left_ms, 1.0
         self.last_outcome: Outcome | None = None  # of the sent upstream request that ended last
         self.number, self.deadline, self.respond = number, deadline, respond
         self.attempts = []  # upstream requests in the order of their Send; None for one that was not started
