--- a/molespur/net/discovery.py
+++ b/molespur/net/discovery.py
@@ -11,7 +11,7 @@
 from ..interface import NewsMode
 from .asking import CALL_TIMEOUT_MS, SILENCE_TIMEOUT_MS, WatchBackoff
 from .cluster import Placed
-from .upstream import BREAKS, dial_tcp
+from .upstream import CONNECTION_ERRORS, dial_tcp
 from .values import JsonSplitter
 
 log = logs.get(__name__)
@@ -127,7 +127,7 @@
             with self.wheel.limit(CALL_TIMEOUT_MS):
                 stream = await self.dial(self.address)
             return await self._follow(stream) if stream else "connect timed out"
-        except BREAKS as problem:
+        except CONNECTION_ERRORS as problem:
             return str(problem) or type(problem).__name__
         except h11.RemoteProtocolError as problem:
             problem.__traceback__ = None  # breaks a reference cycle, see Downstream._serve_one
--- a/molespur/net/downstream.py
+++ b/molespur/net/downstream.py
@@ -13,7 +13,7 @@
 from .host import Arrival, Failed, Refused
 from .intake import MAX_BODY_BYTES, Rejection, check_framing, check_request, class_of
 from .listening import next_connection
-from .upstream import BREAKS, is_quiet, is_readable
+from .upstream import CONNECTION_ERRORS, is_quiet, is_readable
 
 log = logs.get(__name__)
 MAX_PIPELINED_BYTES = 128 * 1024  # kept of what a client sends before its response; more is discarded
@@ -208,7 +208,7 @@
                     client.waiting_since = self.host.clock.now()
                 self._release_bytes(client)
                 await self._close_lingering(client)
-        except BREAKS:
+        except CONNECTION_ERRORS:
             pass  # the client disconnected, and its stream is already closed
         except Exception:
             # An unexpected error on one connection must not close the others.
@@ -428,7 +428,7 @@
         """What the client sends while it waits: pipelined requests, or b"" if it has disconnected."""
         try:
             data = await client.stream.receive_some(16384)
-        except BREAKS:
+        except CONNECTION_ERRORS:
             return b""
         if len(client.http.trailing_data[0]) + len(data) > MAX_PIPELINED_BYTES or self.free_body_bytes < len(
             data
--- a/molespur/net/upstream.py
+++ b/molespur/net/upstream.py
@@ -37,7 +37,7 @@
     b"connection host keep-alive proxy-connection te trailer transfer-encoding upgrade".split()
 )
 OVERWRITTEN_HEADERS = frozenset({b"content-length", b"expect", b"x-timeout-ms"})
-BREAKS = (OSError, trio.BrokenResourceError, trio.ClosedResourceError)
+CONNECTION_ERRORS = (OSError, trio.BrokenResourceError, trio.ClosedResourceError)
 
 
 @dataclass(frozen=True, slots=True)
@@ -411,7 +411,7 @@
                     return
                 await self._exchange(request, connection)
                 self._adjust_usable_idle(connection, False)
-        except BREAKS as problem:
+        except CONNECTION_ERRORS as problem:
             broke = request.stage <= Stage.SENT
             request.fail(Cause.BROKEN, str(problem))
         except (h11.RemoteProtocolError, msgspec.DecodeError, ValueError) as problem:
@@ -537,7 +537,7 @@
                     report = report_from(parse_report(body)) if status == 200 else None
             if scope.cancelled_caught and isinstance(connection, Connection):
                 outcome = Outcome.TIMEOUT
-        except (*BREAKS, h11.RemoteProtocolError, ValueError) as problem:
+        except (*CONNECTION_ERRORS, h11.RemoteProtocolError, ValueError) as problem:
             log.debug("probe.failed", why=str(problem))  # `outcome` is already set
         except Exception:
             log.exception("probe.failed")
--- a/molespur/operations/listener.py
+++ b/molespur/operations/listener.py
@@ -4,7 +4,7 @@
 
 from .. import logs
 from ..net.listening import next_connection
-from ..net.upstream import BREAKS
+from ..net.upstream import CONNECTION_ERRORS
 from .calls import LINE_MOST, Calls
 
 log = logs.get(__name__)
@@ -52,7 +52,7 @@
                 with self.wheel.limit(WRITE_MS):
                     await stream.send_all(text.encode())
                     await stream.send_eof()
-        except BREAKS:
+        except CONNECTION_ERRORS:
             pass  # the caller has left
         except Exception:
             # guards against one call's surprise taking the scheduler down
--- a/molespur/registry/http.py
+++ b/molespur/registry/http.py
@@ -5,13 +5,13 @@
 import h11
 import trio
 
-from ..net.upstream import BREAKS, dial_tcp
+from ..net.upstream import CONNECTION_ERRORS, dial_tcp
 from .model import Fault, Why
 from .protocol import Answer, Request
 
 LINE_MOST = 8 * 1024 * 1024  # one line of a watch: more than etcd's own bound on a message
 BODY_MOST = 64 * 1024 * 1024
-FAULTS = (*BREAKS, h11.RemoteProtocolError)
+FAULTS = (*CONNECTION_ERRORS, h11.RemoteProtocolError)
 
 
 class Link:
--- a/molespur/standins/fleet_load.py
+++ b/molespur/standins/fleet_load.py
@@ -14,7 +14,7 @@
 import msgspec
 import trio
 
-from ..net.upstream import BREAKS
+from ..net.upstream import CONNECTION_ERRORS
 from .jobs import Jobs
 from .members import LISTEN_PORT
 from .server import Served
@@ -191,7 +191,7 @@
             worker.open[member] += 1
             try:
                 await self._serve(worker, member, limit, Served(stream))
-            except (*BREAKS, h11.ProtocolError):
+            except (*CONNECTION_ERRORS, h11.ProtocolError):
                 pass
             finally:
                 worker.open[member] -= 1
--- a/molespur/standins/workers.py
+++ b/molespur/standins/workers.py
@@ -9,7 +9,7 @@
 import trio
 
 from ..net.counters import Counters
-from ..net.upstream import BREAKS
+from ..net.upstream import CONNECTION_ERRORS
 from ..net.wheel import Clock, Wheel
 from ..registry.lease import Registration
 from ..registry.records import Record
@@ -55,7 +55,7 @@
 
     async def serve(self, stream) -> None:
         """Serve one connection."""
-        with contextlib.suppress(*BREAKS, h11.ProtocolError):
+        with contextlib.suppress(*CONNECTION_ERRORS, h11.ProtocolError):
             await self._serve(stream)
         await trio.aclose_forcefully(stream)
 
