--- a/benchmarks/registry.py
+++ b/benchmarks/registry.py
@@ -201,7 +201,7 @@
             before = resident_mb()
             cluster, counters = follower(kind, far.address, nursery, ear)
             with trio.fail_after(120):
-                while len(cluster.lives) < workers:
+                while len(cluster.lifecycles) < workers:
                     await trio.sleep(0.01)
             await trio.sleep(1.5)
             gc.collect()
@@ -236,7 +236,7 @@
                 started = time.monotonic()
                 cluster, counters = follower("etcd", far.address, nursery, Ear())
                 with trio.fail_after(120):
-                    while len(cluster.lives) < workers:
+                    while len(cluster.lifecycles) < workers:
                         await trio.sleep(0.001)
                 row["full_read_ms"] = (time.monotonic() - started) * 1000
                 await trio.sleep(1)
--- a/molespur/fleet/uses.py
+++ b/molespur/fleet/uses.py
@@ -138,7 +138,7 @@
         """Hold the module and the upstream side to what the fleet shares, as it is now."""
         now, parts, machine = self.clock.now(), {}, self.machine
         kinds = machine.share.kinds
-        for uid, placed in self.cluster.placed.items():
+        for uid, placed in self.cluster.listed.items():
             if CONNECTIONS in kinds:
                 most = machine.available(f"{CONNECTIONS}/{uid}", now) + NEARLY
                 if self.adapts:
@@ -158,8 +158,8 @@
             self.host.deliver(news)
 
     def _list(self) -> None:
-        if self.cluster.placed.keys() != self._listed:
-            self._listed = frozenset(self.cluster.placed)
+        if self.cluster.listed.keys() != self._listed:
+            self._listed = frozenset(self.cluster.listed)
             self._limits = {uid: one for uid, one in self._limits.items() if uid in self._listed}
             self.tell(Workers(self._listed))
 
--- a/molespur/net/cluster.py
+++ b/molespur/net/cluster.py
@@ -14,14 +14,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Placed:
+class ListedWorker:
     """A worker as listed, and its address."""
 
     entry: WorkerEntry
     address: tuple[str, int]
 
     @classmethod
-    def from_target(cls, target, from_unix) -> "Placed":
+    def from_target(cls, target, from_unix) -> "ListedWorker":
         """Convert an entry of the platform's list.  Raises ConfigError for an invalid endpoint."""
         return cls(worker_entry(target, from_unix), parse_address(target.endpoint, "endpoint"))
 
@@ -41,24 +41,26 @@
 
     def __init__(self, known, clock, host, upstream):
         self.known, self.clock, self.host, self.upstream = known, clock, host, upstream
-        self.lives: dict[str, Lifecycle] = {}
-        self.placed: dict[str, Placed] = {}  # the listed workers, as last received
+        self.lifecycles: dict[str, Lifecycle] = {}
+        self.listed: dict[str, ListedWorker] = {}  # the listed workers, as last received
         self.source: Source | None = None  # set before start
 
     def lifecycle(self, uid: str) -> Lifecycle | None:
         """The lifecycle state of an upstream host; None if it is not listed."""
-        return self.lives.get(uid)
+        return self.lifecycles.get(uid)
 
-    def known_and_skipped(self) -> tuple[int, int]:
+    def count_listed_and_skipped(self) -> tuple[int, int]:
         """How many upstream hosts are listed, and how many of these get no work now."""
         avoided = self.host.dispatcher.avoided(self.clock.now())
-        skipped = [u for u, life in self.lives.items() if u in avoided or life is not Lifecycle.IN_SERVICE]
-        return len(self.lives), len(skipped)
+        skipped = [
+            u for u, life in self.lifecycles.items() if u in avoided or life is not Lifecycle.IN_SERVICE
+        ]
+        return len(self.lifecycles), len(skipped)
 
     def start(self) -> None:
         """Apply the list from the configuration, then start the source."""
         try:
-            placed = [Placed.from_target(target, self.clock.from_unix) for target in self.known.targets]
+            placed = [ListedWorker.from_target(target, self.clock.from_unix) for target in self.known.targets]
         except ConfigError as problem:
             raise ConfigError(f"LB_CONFIG: known: {problem}") from None
         self.take(placed, NewsMode.PERSISTED)
@@ -68,26 +70,26 @@
         """Handle the decision module's request for changes."""
         self.source.watch()
 
-    def take(self, placed: Sequence[Placed], mode: NewsMode) -> None:
+    def take(self, placed: Sequence[ListedWorker], mode: NewsMode) -> None:
         """Apply a list or changes to it, and notify the decision module."""
         if mode is not NewsMode.PARTIAL:
-            for uid in self.lives.keys() - {p.entry.worker for p in placed}:
-                del self.lives[uid], self.placed[uid]
+            for uid in self.lifecycles.keys() - {p.entry.worker for p in placed}:
+                del self.lifecycles[uid], self.listed[uid]
                 self.upstream.drop(uid)
         self.note(placed)
         self.tell(tuple(p.entry for p in placed), mode)
 
-    def note(self, placed: Sequence[Placed]) -> None:
+    def note(self, placed: Sequence[ListedWorker]) -> None:
         """Apply changes here before the module is notified: a worker not in service gets no new requests."""
         for one in placed:
             entry = one.entry
             if entry.lifecycle is Lifecycle.GONE:
                 # Nothing is kept of removed workers, so that new names do not take ever more memory.
-                self.lives.pop(entry.worker, None)
-                self.placed.pop(entry.worker, None)
+                self.lifecycles.pop(entry.worker, None)
+                self.listed.pop(entry.worker, None)
                 self.upstream.drop(entry.worker)
             else:
-                self.lives[entry.worker], self.placed[entry.worker] = entry.lifecycle, one
+                self.lifecycles[entry.worker], self.listed[entry.worker] = entry.lifecycle, one
                 accepts_work = entry.lifecycle is Lifecycle.IN_SERVICE
                 self.upstream.place(entry.worker, one.address, entry.born_ms, accepts_work)
 
--- a/molespur/net/discovery.py
+++ b/molespur/net/discovery.py
@@ -10,7 +10,7 @@
 from ..config import ConfigError, Target
 from ..interface import NewsMode
 from .asking import CALL_TIMEOUT_MS, SILENCE_TIMEOUT_MS, WatchBackoff
-from .cluster import Placed
+from .cluster import ListedWorker
 from .upstream import CONNECTION_ERRORS, dial_tcp
 from .values import JsonSplitter
 
@@ -79,7 +79,7 @@
         placed, faulty = [], []
         for raw in listing.targets:
             try:
-                placed.append(Placed.from_target(_decode_target(raw), self.clock.from_unix))
+                placed.append(ListedWorker.from_target(_decode_target(raw), self.clock.from_unix))
             except (msgspec.DecodeError, ConfigError, ValueError) as problem:
                 faulty.append(raw)
                 self.counters["cluster.faulty_entries"] += 1
@@ -93,7 +93,7 @@
             placed += self._current_entries(faulty, {one.entry.worker for one in placed})
         self.cluster.take(placed, NewsMode.COMPLETE if listing.all else NewsMode.PARTIAL)
 
-    def _current_entries(self, faulty: list[msgspec.Raw], decoded: set[str]) -> list[Placed]:
+    def _current_entries(self, faulty: list[msgspec.Raw], decoded: set[str]) -> list[ListedWorker]:
         """The current entries of the workers that the faulty entries of a full list may name.
 
         A faulty entry must not remove a working upstream host.
@@ -101,8 +101,8 @@
         try:
             candidates = {_decode_uid(raw).uid for raw in faulty}
         except msgspec.DecodeError:
-            candidates = set(self.cluster.placed)  # an entry without a uid may name any worker
-        return [one for uid, one in self.cluster.placed.items() if uid in candidates - decoded]
+            candidates = set(self.cluster.listed)  # an entry without a uid may name any worker
+        return [one for uid, one in self.cluster.listed.items() if uid in candidates - decoded]
 
     # -- The watch -------------------------------------------------------------------------------
 
--- a/molespur/registry/source.py
+++ b/molespur/registry/source.py
@@ -10,7 +10,7 @@
 from ..config import ConfigError
 from ..config.deployment import Deployment
 from ..interface import Lifecycle, WorkerEntry
-from ..net.cluster import Placed
+from ..net.cluster import ListedWorker
 from ..net.upstream import dial_tcp
 from . import snapshot, static
 from .client import Client
@@ -39,7 +39,7 @@
         """Note a difference.  Ends and drains come first; a long list is taken in with pauses."""
         if not delta:
             return
-        gone = [uid for uid in delta.gone if uid in self.cluster.lives]
+        gone = [uid for uid in delta.gone if uid in self.cluster.lifecycles]
         ordered = gone + sorted(delta.put, key=lambda record: record.state == "active")
         for start in range(0, len(ordered), AT_ONCE):
             part = [self._placed(one) for one in ordered[start : start + AT_ONCE]]
@@ -50,11 +50,11 @@
             if len(ordered) > AT_ONCE:
                 await trio.lowlevel.checkpoint()
 
-    def _placed(self, one: Record | str) -> Placed:
+    def _placed(self, one: Record | str) -> ListedWorker:
         """A record, or the uid of a worker that is gone."""
         if isinstance(one, str):
-            return Placed(WorkerEntry(one, lifecycle=Lifecycle.GONE), ("", 0))
-        return Placed(one.entry(self.clock.from_unix), _address(one.endpoint))
+            return ListedWorker(WorkerEntry(one, lifecycle=Lifecycle.GONE), ("", 0))
+        return ListedWorker(one.entry(self.clock.from_unix), _address(one.endpoint))
 
     async def run(self) -> None:
         """Tell the module, for good."""
@@ -128,7 +128,7 @@
         if not self._whole:
             # the first whole list: what the platform or a snapshot knew and the registry does not is gone
             self._whole = True
-            known = self.cluster.lives.keys() - view.workers.keys()
+            known = self.cluster.lifecycles.keys() - view.workers.keys()
             delta = Delta(delta.put, tuple(dict.fromkeys((*delta.gone, *known))))
         await self.teller.told(delta)
         if self.store.path and not self._saving:
@@ -183,7 +183,7 @@
         return static.load(self.path, self.view.revision + 1, self.bounds.most_workers)
 
     async def _run(self) -> None:
-        known = tuple(uid for uid in self.cluster.lives if uid not in self._pending.workers)
+        known = tuple(uid for uid in self.cluster.lifecycles if uid not in self._pending.workers)
         delta = difference(View(), self._pending)
         self.view = self._pending
         await self.teller.told(Delta(delta.put, known))
--- a/molespur/scheduler.py
+++ b/molespur/scheduler.py
@@ -11,7 +11,7 @@
 from .interface import Started
 from .lifecycle import Told
 from .logic import Dispatcher
-from .net.cluster import Cluster, Placed
+from .net.cluster import Cluster, ListedWorker
 from .net.counters import Counters
 from .net.discovery import Discovery
 from .net.downstream import Downstream
@@ -152,7 +152,7 @@
 
         if self.fleet is not None:
             self.fleet.publish()
-        gauges = Gauges(self.host.open, *self.cluster.known_and_skipped())
+        gauges = Gauges(self.host.open, *self.cluster.count_listed_and_skipped())
         return figures(self.counters, (c.name for c in self.host.settings.classes), gauges)
 
     # -- The fleet of schedulers -----------------------------------------------------------------
@@ -258,7 +258,7 @@
         try:
             known = msgspec.convert(told, ClusterList)
             for target in known.targets:
-                Placed.from_target(target, self.clock.from_unix)
+                ListedWorker.from_target(target, self.clock.from_unix)
         except (msgspec.ValidationError, configuration.ConfigError) as problem:
             log.warning("replacement.list_refused", why=str(problem))
             return
@@ -266,7 +266,7 @@
 
     def listed(self) -> dict:
         """The list that is held, with its version and where it comes from, for a successor."""
-        targets = [configuration.target_of(one.entry, one.address) for one in self.cluster.placed.values()]
+        targets = [configuration.target_of(one.entry, one.address) for one in self.cluster.listed.values()]
         address = getattr(self.source, "address", None)
         return {
             "rev": getattr(self.source, "rev", 0),
--- a/tests/operations/test_figures.py
+++ b/tests/operations/test_figures.py
@@ -12,7 +12,7 @@
 
 from molespur.config import ClusterList
 from molespur.interface import NewsMode
-from molespur.net.cluster import Placed
+from molespur.net.cluster import ListedWorker
 from molespur.operations.figures import Gauges, figures
 
 STATUS = {200: "passed", 503: "dropped", 502: "bad_gateway"}
@@ -31,7 +31,7 @@
         """The list, or changes to it: w1, w2, .. in these states."""
         targets = [target(f"w{n}") | {"state": state} for n, state in enumerate(states, 1)]
         known = msgspec.convert({"rev": 1, "all": True, "targets": targets}, ClusterList)
-        self.cluster.take([Placed.from_target(one, lambda at: at) for one in known.targets], mode)
+        self.cluster.take([ListedWorker.from_target(one, lambda at: at) for one in known.targets], mode)
 
     # -- Workers ---------------------------------------------------------------------------------
 
@@ -111,7 +111,7 @@
             await trio.sleep(self.rng.uniform(0, 0.3))
 
     def figures(self):
-        gauges = Gauges(self.host.open, *self.cluster.known_and_skipped())
+        gauges = Gauges(self.host.open, *self.cluster.count_listed_and_skipped())
         lines = figures(self.counters, self.host.classes, gauges)
         return {name.removeprefix("app."): int(value) for name, _, value in (x.partition("=") for x in lines)}
 
@@ -154,18 +154,18 @@
         async with trio.open_nursery() as nursery:
             world = Rough(nursery, 1)
             world.told("active", "active", "active", "leaving")
-            assert world.cluster.known_and_skipped() == (4, 1)
+            assert world.cluster.count_listed_and_skipped() == (4, 1)
             workers = world.dispatcher.workers
             workers["w1"].eject_until = world.cluster.clock.now() + 1000
-            assert world.cluster.known_and_skipped() == (4, 2)
+            assert world.cluster.count_listed_and_skipped() == (4, 2)
             # with more than half resting none is avoided
             workers["w2"].eject_until = workers["w3"].eject_until = workers["w1"].eject_until
-            assert world.cluster.known_and_skipped() == (4, 1)
+            assert world.cluster.count_listed_and_skipped() == (4, 1)
             workers["w2"].eject_until = workers["w3"].eject_until = 0.0
             world.told("left", mode=NewsMode.PARTIAL)
-            assert world.cluster.known_and_skipped() == (3, 1)
+            assert world.cluster.count_listed_and_skipped() == (3, 1)
             workers["w2"].eject_until = world.cluster.clock.now() - 1
-            assert world.cluster.known_and_skipped() == (3, 1)
+            assert world.cluster.count_listed_and_skipped() == (3, 1)
             nursery.cancel_scope.cancel()
 
     trio.run(main, clock=MockClock(autojump_threshold=0))
--- a/tests/registry/test_source.py
+++ b/tests/registry/test_source.py
@@ -235,7 +235,7 @@
         rig.store.commit([(f"{PREFIX}w{n}", record(n), 0) for n in range(many)])
         rig.start()
         rig.nursery.start_soon(teller.run)
-        await rig.until(lambda: len(cluster.lives) == many)
+        await rig.until(lambda: len(cluster.lifecycles) == many)
         names = itertools.count(many)
         for _ in range(20):
             gone = [key for key, _ in rig.store.range(PREFIX, None, limit=1000)[0]]
@@ -244,7 +244,7 @@
             rig.store.commit([(f"{PREFIX}w{n}", record(n % 60000), 0) for n in news])
             rig.store.compact()
             await rig.whole()
-        assert len(cluster.lives) == len(rig.client.view.entries) == len(cluster.upstream.hosts)
+        assert len(cluster.lifecycles) == len(rig.client.view.entries) == len(cluster.upstream.hosts)
         await rig.until(lambda: not teller.pending)
         assert 256 <= steps.most <= 1000 and max(len(news.entries) for news in told) <= 256
 
@@ -346,12 +346,12 @@
             _, cluster, source = a_source(nursery, "etcd", registry, snapshot=path)
             source.start()
             await trio.sleep(2)
-            assert set(cluster.lives) == {"w1", "w2"} and not source.fresh
+            assert set(cluster.lifecycles) == {"w1", "w2"} and not source.fresh
             # meanwhile one was removed: the full read finds it, and the other is not told again
             registry.store.delete(f"{PREFIX}w1")
             registry.members[0].faults.refuse = False
             with trio.fail_after(20):
-                while set(cluster.lives) != {"w2"}:
+                while set(cluster.lifecycles) != {"w2"}:
                     await trio.sleep(0.05)
             nursery.cancel_scope.cancel()
         for content in (b"", b"molespur-registry-snapshot 1 00\n{}", os.urandom(100)):
@@ -361,7 +361,7 @@
                 source.start()
                 assert source.counters["registry.snapshot_refused"] == 1
                 with trio.fail_after(20):
-                    while set(cluster.lives) != {"w2"}:
+                    while set(cluster.lifecycles) != {"w2"}:
                         await trio.sleep(0.05)
                 nursery.cancel_scope.cancel()
 
@@ -382,15 +382,15 @@
             write(1, 2)
             source.start()
             await trio.sleep(1)
-            assert set(cluster.lives) == {"w1", "w2"}
+            assert set(cluster.lifecycles) == {"w1", "w2"}
             write(2, 3)
             source.move(("", 0))
             await trio.sleep(1)
-            assert set(cluster.lives) == {"w2", "w3"}
+            assert set(cluster.lifecycles) == {"w2", "w3"}
             path.write_text("{")
             source.move(("", 0))
             await trio.sleep(1)
-            assert set(cluster.lives) == {"w2", "w3"} and source.counters["cluster.errors"] == 1
+            assert set(cluster.lifecycles) == {"w2", "w3"} and source.counters["cluster.errors"] == 1
             nursery.cancel_scope.cancel()
 
     trio.run(main, clock=MockClock(autojump_threshold=0))
