--- a/molespur/net/cluster.py
+++ b/molespur/net/cluster.py
@@ -63,23 +63,23 @@
             placed = [ListedWorker.from_target(target, self.clock.from_unix) for target in self.known.targets]
         except ConfigError as problem:
             raise ConfigError(f"LB_CONFIG: known: {problem}") from None
-        self.take(placed, NewsMode.PERSISTED)
+        self.update(placed, NewsMode.PERSISTED)
         self.source.start()
 
     def watch(self) -> None:
         """Handle the decision module's request for changes."""
         self.source.watch()
 
-    def take(self, placed: Sequence[ListedWorker], mode: NewsMode) -> None:
+    def update(self, placed: Sequence[ListedWorker], mode: NewsMode) -> None:
         """Apply a list or changes to it, and notify the decision module."""
         if mode is not NewsMode.PARTIAL:
             for uid in self.lifecycles.keys() - {p.entry.worker for p in placed}:
                 del self.lifecycles[uid], self.listed[uid]
                 self.upstream.drop(uid)
-        self.note(placed)
-        self.tell(tuple(p.entry for p in placed), mode)
+        self.apply(placed)
+        self.notify(tuple(p.entry for p in placed), mode)
 
-    def note(self, placed: Sequence[ListedWorker]) -> None:
+    def apply(self, placed: Sequence[ListedWorker]) -> None:
         """Apply changes here before the module is notified: a worker not in service gets no new requests."""
         for one in placed:
             entry = one.entry
@@ -93,14 +93,14 @@
                 accepts_work = entry.lifecycle is Lifecycle.IN_SERVICE
                 self.upstream.place(entry.worker, one.address, entry.born_ms, accepts_work)
 
-    def tell(self, entries: tuple[WorkerEntry, ...], mode: NewsMode = NewsMode.PARTIAL) -> None:
+    def notify(self, entries: tuple[WorkerEntry, ...], mode: NewsMode = NewsMode.PARTIAL) -> None:
         """Notify the decision module of entries that are already applied here."""
         self.host.deliver(FleetNews(mode, entries))
 
-    def unchanged(self) -> None:
+    def notify_unchanged(self) -> None:
         """Report that nothing has changed, which also fulfills the decision module's Watch."""
-        self.tell(())
+        self.notify(())
 
-    def lost(self) -> None:
+    def notify_watch_lost(self) -> None:
         """Report that the source lost its watch.  The decision module then asks again by itself."""
         self.host.deliver(FleetNews(NewsMode.ERROR))
--- a/molespur/net/discovery.py
+++ b/molespur/net/discovery.py
@@ -91,7 +91,7 @@
         self.rev = listing.rev
         if listing.all and faulty:
             placed += self._current_entries(faulty, {one.entry.worker for one in placed})
-        self.cluster.take(placed, NewsMode.COMPLETE if listing.all else NewsMode.PARTIAL)
+        self.cluster.update(placed, NewsMode.COMPLETE if listing.all else NewsMode.PARTIAL)
 
     def _current_entries(self, faulty: list[msgspec.Raw], decoded: set[str]) -> list[ListedWorker]:
         """The current entries of the workers that the faulty entries of a full list may name.
--- a/molespur/registry/source.py
+++ b/molespur/registry/source.py
@@ -43,7 +43,7 @@
         ordered = gone + sorted(delta.put, key=lambda record: record.state == "active")
         for start in range(0, len(ordered), AT_ONCE):
             part = [self._placed(one) for one in ordered[start : start + AT_ONCE]]
-            self.cluster.note(part)
+            self.cluster.apply(part)
             for placed in part:
                 self.pending[placed.entry.worker] = placed.entry
             self._more.set()
@@ -70,7 +70,7 @@
             if self.pending:
                 self._more.set()
             started = time.perf_counter()
-            self.cluster.tell(entries)
+            self.cluster.notify(entries)
             self.counters["registry.told"] += len(entries)
             self.pace.told(self.clock.now(), (time.perf_counter() - started) * 1000)
 
@@ -148,16 +148,16 @@
         self.fresh = fresh
         if fresh and self._asked:
             self._asked = False
-            self.cluster.unchanged()
+            self.cluster.notify_unchanged()
         elif not fresh:
             self.counters["cluster.errors"] += 1
-            self.cluster.lost()
+            self.cluster.notify_watch_lost()
 
     def watch(self) -> None:
         """The module asks; we always do, and answer as soon as the list is up to date."""
         self._asked = not self.fresh
         if self.fresh:
-            self.cluster.unchanged()
+            self.cluster.notify_unchanged()
 
     def move(self, _address: tuple[str, int]) -> None:
         """On a reload: the platform's discovery is not our source, so there is nothing to do."""
@@ -191,7 +191,7 @@
 
     def watch(self) -> None:
         """A file is always up to date."""
-        self.cluster.unchanged()
+        self.cluster.notify_unchanged()
 
     def move(self, _address: tuple[str, int]) -> None:
         """On a reload: read the file again; where it can't be used the old list stands."""
--- a/tests/operations/test_figures.py
+++ b/tests/operations/test_figures.py
@@ -31,7 +31,7 @@
         """The list, or changes to it: w1, w2, .. in these states."""
         targets = [target(f"w{n}") | {"state": state} for n, state in enumerate(states, 1)]
         known = msgspec.convert({"rev": 1, "all": True, "targets": targets}, ClusterList)
-        self.cluster.take([ListedWorker.from_target(one, lambda at: at) for one in known.targets], mode)
+        self.cluster.update([ListedWorker.from_target(one, lambda at: at) for one in known.targets], mode)
 
     # -- Workers ---------------------------------------------------------------------------------
 
--- a/tests/registry/test_source.py
+++ b/tests/registry/test_source.py
@@ -227,7 +227,7 @@
     many, steps = 10_000, Steps()
     for name in ("put", "_shown"):
         monkeypatch.setattr(Edit, name, steps.counted(getattr(Edit, name)))
-    monkeypatch.setattr(Cluster, "note", steps.counted(Cluster.note))
+    monkeypatch.setattr(Cluster, "apply", steps.counted(Cluster.apply))
 
     async def churned(rig):
         told, cluster, teller = told_to(rig.client.clock, Pace(), rig.wheel)
