--- a/molespur/net/downstream.py
+++ b/molespur/net/downstream.py
@@ -410,7 +410,7 @@
             responses.append(response)
             waiting.cancel()
 
-        stream = self.host.take(arrival, respond)
+        stream = self.host.accept(arrival, respond)
         ahead_bytes = 0
         with waiting:
             while not responses and ahead_bytes <= MAX_READ_AHEAD_BYTES:
@@ -419,7 +419,7 @@
                     break
                 ahead_bytes += len(data)
         if not responses and stream is not None:
-            self.host.client_gone(stream)
+            self.host.client_disconnected(stream)
             if ahead_bytes > MAX_READ_AHEAD_BYTES:
                 raise Rejection(413, "too much data sent before the response")
         return responses[0] if responses else None
--- a/molespur/net/host.py
+++ b/molespur/net/host.py
@@ -92,8 +92,8 @@
         self._use_settings(settings)
         self.upstream = self.cluster = None  # set by connect
         self.streams: dict[int, Stream] = {}
-        self.open = 0  # streams that have no final response yet
-        self.finished = False  # no new stream is accepted: the process is about to exit
+        self.open_streams = 0  # streams that have no final response yet
+        self.is_closed = False  # no new stream is accepted: the process is about to exit
         self._next_number = 1
         self._queue, self._handling = deque(), False
         # Hooks for the state that schedulers share (fleet/uses.py); None without shared state.
@@ -173,18 +173,18 @@
         if failed and stream is not None and not stream.closed and not stream.in_flight:
             self._finish(stream, Failed())
 
-    def take(self, arrival: Arrival, respond: Callable[[FinalResponse], None]) -> Stream | None:
+    def accept(self, arrival: Arrival, respond: Callable[[FinalResponse], None]) -> Stream | None:
         """Accept a stream; its final response may come before this returns.  None if too many are open."""
         self.counters["in.streams"] += 1
-        if self.open >= self.max_streams or self.finished:
-            # Once `finished` is set, a new stream would be cut off by the exit of the process.
+        if self.open_streams >= self.max_streams or self.is_closed:
+            # Once `is_closed` is set, a new stream would be cut off by the exit of the process.
             self.counters["in.turned_away"] += 1
             respond(Refused(self.settings.pause_ms))
             return None
         deadline = self.clock.now() + arrival.time_left_ms
         stream = Stream(self._next_number, deadline, self.settings.max_attempts, arrival, respond)
         self._next_number += 1
-        self.open += 1
+        self.open_streams += 1
         self.streams[stream.number] = stream
         overdue_in_ms = arrival.time_left_ms + OVERDUE_MARGIN_MS
         stream.overdue_timer = self.wheel.after(overdue_in_ms, self._fail_overdue, stream)
@@ -197,7 +197,7 @@
         self.deliver(event)
         return stream
 
-    def client_gone(self, stream: Stream) -> None:
+    def client_disconnected(self, stream: Stream) -> None:
         """Close a stream whose client disconnected before its response."""
         if stream.closed:
             return
@@ -318,12 +318,12 @@
 
         self.upstream.probe(action.worker, ended)
 
-    def end_all(self) -> None:
+    def close_all_streams(self) -> None:
         """Send a final response for each open stream, before the process exits.
 
         Otherwise these streams would be cut off without a response when the process is killed.
         """
-        self.finished = True
+        self.is_closed = True
         for stream in [s for s in self.streams.values() if not s.closed]:
             self.counters["answered.at_the_end"] += 1
             self._finish(stream, Failed() if stream.attempts else Refused())
@@ -348,7 +348,7 @@
 
     def _close(self, stream: Stream) -> None:
         stream.closed = True
-        self.open -= 1
+        self.open_streams -= 1
         stream.overdue_timer.cancel()
         for request in stream.attempts:
             if request is not None:
--- a/molespur/net/service.py
+++ b/molespur/net/service.py
@@ -48,7 +48,7 @@
             self.downstream.stop_accepting()
             self.stopped_accepting.set()
         if stance.ended and not before.ended:
-            self.host.end_all()
+            self.host.close_all_streams()
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
--- a/molespur/scheduler.py
+++ b/molespur/scheduler.py
@@ -152,7 +152,7 @@
 
         if self.fleet is not None:
             self.fleet.publish()
-        gauges = Gauges(self.host.open, *self.cluster.count_listed_and_skipped())
+        gauges = Gauges(self.host.open_streams, *self.cluster.count_listed_and_skipped())
         return figures(self.counters, (c.name for c in self.host.settings.classes), gauges)
 
     # -- The fleet of schedulers -----------------------------------------------------------------
--- a/tests/operations/test_figures.py
+++ b/tests/operations/test_figures.py
@@ -111,7 +111,7 @@
             await trio.sleep(self.rng.uniform(0, 0.3))
 
     def figures(self):
-        gauges = Gauges(self.host.open, *self.cluster.count_listed_and_skipped())
+        gauges = Gauges(self.host.open_streams, *self.cluster.count_listed_and_skipped())
         lines = figures(self.counters, self.host.classes, gauges)
         return {name.removeprefix("app."): int(value) for name, _, value in (x.partition("=") for x in lines)}
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -58,7 +58,7 @@
         getattr(a, leave)()
         await settle()
         assert site.counters["answered.client_gone"] == 1
-        assert site.scheduler.host.open == 0
+        assert site.scheduler.host.open_streams == 0
         assert site.counters["sent.requests"] == 1
         assert site.scheduler.downstream.free_body_bytes == site.scheduler.downstream.max_body_bytes
 
@@ -116,7 +116,7 @@
             break
     assert max(held) <= downstream.MAX_PIPELINED_BYTES + 65536
     assert b" 413 " in await a.read(b"\r\n")
-    assert site.scheduler.host.open == 0
+    assert site.scheduler.host.open_streams == 0
 
 
 # -- Attempts -------------------------------------------------------------------------------------
--- a/tests/test_stream_machine.py
+++ b/tests/test_stream_machine.py
@@ -68,7 +68,7 @@
         assert begin_by <= until, "to be begun after it is given up"
         assert not stream.answers and not stream.gone, "sent for a stream that is over"
         assert self.machine.lives.get(worker) is Lifecycle.IN_SERVICE, "sent to a worker not in service"
-        assert not self.machine.host.finished, "sent after the end"
+        assert not self.machine.host.is_closed, "sent after the end"
         stream.attempts += 1
         attempt = Attempt(self, stream)
 
@@ -129,7 +129,7 @@
             return
         name = len(self.streams)
         client = self.streams[name] = Client(job_class, self.time.at + left)
-        client.stream = self.host.take(Arrival(job_class, left, name), client.answers.append)
+        client.stream = self.host.accept(Arrival(job_class, left, name), client.answers.append)
         assert client.stream is not None or len(client.answers) == 1
 
     def one_out(self, data):
@@ -155,11 +155,11 @@
         waiting = [s for s in self.streams.values() if not s.gone and not s.answers]
         client = data.draw(st.sampled_from(waiting))
         client.gone = True
-        self.host.client_gone(client.stream)
+        self.host.client_disconnected(client.stream)
         # whatever the settings forbid: what is not written is withdrawn
         left = [a.request.stage for a in self.upstream.out if a.stream is client]
         assert Stage.CONNECTING not in left
-        self.host.client_gone(client.stream)
+        self.host.client_disconnected(client.stream)
 
     @rule(ms=st.sampled_from([1.0, 20.0, 300.0, 2000.0]))
     def wait(self, ms):
@@ -177,7 +177,7 @@
 
     @rule()
     def finish(self):
-        self.host.end_all()
+        self.host.close_all_streams()
 
     @invariant()
     def one_answer(self):
@@ -188,12 +188,12 @@
                 assert client.gone or client.answers, "unanswered after its time"
 
     def teardown(self):
-        self.host.end_all()
+        self.host.close_all_streams()
         assert all(s.gone or len(s.answers) == 1 for s in self.streams.values())
         for attempt in list(self.upstream.out):
             attempt.request.settle(Failure(Stage.SENT, Cause.BROKEN))
         assert all(s.ended == s.attempts for s in self.streams.values())
-        assert not self.host.streams and self.host.open == 0
+        assert not self.host.streams and self.host.open_streams == 0
         self.time.go_on(10_000)
         assert not self.host.dispatcher.jobs
 
