--- a/molespur/net/host.py
+++ b/molespur/net/host.py
@@ -123,7 +123,7 @@
     def _use_settings(self, settings: io.Settings) -> None:
         self.settings, self.classes = settings, {c.name: c for c in settings.classes}
 
-    def retune(self, settings: io.Settings) -> None:
+    def apply_settings(self, settings: io.Settings) -> None:
         """Apply new settings here, in the decision module and in the request checks, which read them here.
 
         Open streams keep the class and the maximum of upstream requests with which they were accepted.
--- a/molespur/net/service.py
+++ b/molespur/net/service.py
@@ -17,12 +17,12 @@
         self.stopped_accepting = trio.Event()  # the listener is to be closed
         self._timer = None
         self._applied = self.stance()
-        self.retune(host.settings)
+        self.apply_settings(host.settings)
 
     def stance(self) -> Stance:
         return self.process.stance(self.clock.now())
 
-    def retune(self, settings) -> None:
+    def apply_settings(self, settings) -> None:
         """Apply new settings.  A stop takes as long as the longest deadline of a job class."""
         self.process.longest_ms = max(c.deadline_ms for c in settings.classes)
         self._apply_stance()
--- a/molespur/net/upstream.py
+++ b/molespur/net/upstream.py
@@ -196,10 +196,10 @@
         # Whether the fleet's budget allows another connection to the host (uid, number of connections to it).
         # None without a budget.
         self.may_open: Callable[[str, int], bool] | None = None
-        self.retune(config)
+        self.apply_config(config)
         wheel.after(config.conn_idle_ms / 10, self._sweep)
 
-    def retune(self, config) -> None:
+    def apply_config(self, config) -> None:
         """Apply a new configuration."""
         self.config = config
         self.usable_idle_ms = self.max_usable_idle_ms = USABLE_IDLE_SHARE * config.conn_idle_ms
--- a/molespur/scheduler.py
+++ b/molespur/scheduler.py
@@ -83,10 +83,10 @@
     def swap(self, config, settings) -> None:
         """Take another configuration over, in one step: no part ever sees some of it."""
         self.config = config
-        self.host.retune(settings)
+        self.host.apply_settings(settings)
         self.host.max_streams = min(config.max_open, self._parts()[0])
-        self.upstream.retune(config)
-        self.service.retune(settings)
+        self.upstream.apply_config(config)
+        self.service.apply_settings(settings)
 
     # -- Its life --------------------------------------------------------------------------------
 
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -339,7 +339,7 @@
             profiles = [p | {"name": verb} if p["name"] == "lookup" else p for p in SETTINGS["profiles"]]
             limits = SETTINGS["limits"] | {"tryLimit": int(words[0])}
             given = config.read_settings(SETTINGS | {"profiles": profiles, "limits": limits})[0]
-            self.host.retune(given)
+            self.host.apply_settings(given)
         elif who == "move":
             self.watch = None
             self.source.move(("127.0.0.1", int(words[0])))
--- a/tests/test_stream_machine.py
+++ b/tests/test_stream_machine.py
@@ -173,7 +173,9 @@
     @rule(classes=st.sets(st.sampled_from(range(len(CLASSES))), min_size=1), attempts=st.integers(1, 4))
     def reload(self, classes, attempts):
         kept = tuple(CLASSES[i] for i in sorted(classes))
-        self.host.retune(Settings(classes=kept, max_attempts=attempts, may_cancel=self.given.may_cancel))
+        self.host.apply_settings(
+            Settings(classes=kept, max_attempts=attempts, may_cancel=self.given.may_cancel)
+        )
 
     @rule()
     def finish(self):
