--- a/molespur/net/downstream.py
+++ b/molespur/net/downstream.py
@@ -96,7 +96,7 @@
         self.free_body_bytes = self.max_body_bytes = (
             0.0  # of all bodies together: still free, and the maximum
         )
-        self.links: dict[ClientConnection, None] = {}
+        self.connections: dict[ClientConnection, None] = {}
         # Each in order of insertion: the first one is closed first.
         self.lingering: dict[ClientConnection, None] = {}
         self.new: dict[ClientConnection, None] = {}
@@ -106,18 +106,18 @@
         self.up = False  # the response to health checks
         self.closing = False  # connections are closed after each response, and as soon as they are idle
         self.ended = False  # all open streams have a final response, and new ones get theirs at once
-        self._accepting, self._room, self._large_lingers = trio.CancelScope(), trio.Event(), 0
+        self._accepting, self._connection_closed, self._large_lingers = trio.CancelScope(), trio.Event(), 0
         self._nursery = None
         self._queue_busy_since: float | None = None  # since when the listener's queue was never seen empty
         self.resize(max_connections, max_job_connections, body_bytes)
 
     def resize(self, max_connections: int, max_job_connections: int, body_bytes: float) -> None:
         """Set the limits for all connections, for clients' connections with jobs, and for bodies together."""
-        self.most, self.max_kept = max_connections, JOB_CONNECTIONS_SHARE * max_job_connections
+        self.max_connections, self.max_kept = max_connections, JOB_CONNECTIONS_SHARE * max_job_connections
         self.free_body_bytes, self.max_body_bytes = (
             self.free_body_bytes + body_bytes - self.max_body_bytes, body_bytes
         )  # fmt: skip
-        for _ in range(len(self.links) - max_connections):
+        for _ in range(len(self.connections) - max_connections):
             self._make_room()
 
     # -- Connections -----------------------------------------------------------------------------
@@ -127,7 +127,7 @@
         self._nursery = nursery
         with self._accepting:
             while True:
-                while len(self.links) >= self.most + MAX_EXCESS_CONNECTIONS:
+                while len(self.connections) >= self.max_connections + MAX_EXCESS_CONNECTIONS:
                     # Otherwise a burst would wait in the listener's queue until others finish lingering.
                     self._make_room()
                     await self._wait_for_close()
@@ -139,18 +139,18 @@
                 nursery.start_soon(self.serve, stream, self._queue_busy_since)
 
     async def _wait_for_close(self) -> None:
-        self._room = trio.Event()
-        await self._room.wait()
+        self._connection_closed = trio.Event()
+        await self._connection_closed.wait()
 
     def stop_accepting(self) -> None:
         """Accept no more connections."""
         self._accepting.cancel()
 
-    async def take_rest(self, listener) -> None:
+    async def accept_queued(self, listener) -> None:
         """Accept the connections in the listener's queue, which closing the listener would reset."""
         while (
             self._nursery
-            and len(self.links) < self.most + MAX_EXCESS_CONNECTIONS
+            and len(self.connections) < self.max_connections + MAX_EXCESS_CONNECTIONS
             and is_readable(listener.socket)
         ):
             try:
@@ -168,7 +168,7 @@
         self.wheel.after(
             CLOSING_REQUEST_TIMEOUT_MS,
             self._cancel_reads,
-            [client.reading for client in self.links if client.reading],
+            [client.reading for client in self.connections if client.reading],
         )
 
     def _cancel_reads(self, scopes) -> None:
@@ -176,17 +176,17 @@
         for scope in scopes if self.closing else ():
             scope.cancel()
 
-    async def empty(self) -> None:
+    async def wait_until_closed(self) -> None:
         """Return once all connections are closed, and so all accepted requests have a response."""
         for client in self.idle:
             client.waiting.cancel()
         # The newest connections may be sending their first request right now.
         self.wheel.after(CLOSING_IDLE_TIMEOUT_MS, self._cancel_waits)
-        while self.links:
+        while self.connections:
             await self._wait_for_close()
 
     def _cancel_waits(self) -> None:
-        for client in self.links:
+        for client in self.connections:
             if client.waiting:
                 client.waiting.cancel()
 
@@ -195,7 +195,7 @@
         client = ClientConnection(stream, self.host.clock.now())
         if not is_quiet(stream):
             client.queued_since = queued_since
-        self.links[client] = None
+        self.connections[client] = None
         self.counters["in.connections"] += 1
         self._make_room()
         self.new[client] = None
@@ -216,9 +216,9 @@
             self.counters["in.exceptions"] += 1
         finally:
             self._release_bytes(client)
-            for group in (self.links, self.lingering, self.new, self.idle):
+            for group in (self.connections, self.lingering, self.new, self.idle):
                 group.pop(client, None)
-            self._room.set()
+            self._connection_closed.set()
             with trio.CancelScope(shield=True):
                 await trio.aclose_forcefully(stream)
 
@@ -232,7 +232,7 @@
 
     def _make_room(self) -> None:
         """Beyond the limit, close one connection that can be spared."""
-        if len(self.links) <= self.most:
+        if len(self.connections) <= self.max_connections:
             return
         for group in (self.lingering, self.new, self.idle):
             for client in group:
@@ -249,7 +249,7 @@
         Clients have a limit of their own on job connections.  A client that opens a new connection for each
         job and leaves the old ones idle would reach that limit and could not send its next job.
         """
-        excess = len(self.links) - len(self.new) - len(self.lingering) - self.max_kept
+        excess = len(self.connections) - len(self.new) - len(self.lingering) - self.max_kept
         while excess > 0 and self.idle:
             client = next(iter(self.idle))
             del self.idle[client]
--- a/molespur/net/service.py
+++ b/molespur/net/service.py
@@ -58,7 +58,7 @@
     async def gone(self, listener) -> None:
         """Return once the listener is closed and all accepted requests have a response."""
         await self.stopped_accepting.wait()
-        await self.downstream.take_rest(listener)
+        await self.downstream.accept_queued(listener)
         # From now on connections are refused; otherwise they would stay in the queue and never be accepted.
         await listener.aclose()
-        await self.downstream.empty()
+        await self.downstream.wait_until_closed()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -125,7 +125,7 @@
                 await serve(site, idle[-1], f"i{i}", workers)
         a = await site.client()
         await serve(site, a, "r1", workers)
-        assert len(site.scheduler.downstream.links) <= site.scheduler.downstream.most
+        assert len(site.scheduler.downstream.connections) <= site.scheduler.downstream.max_connections
 
     play()
 
@@ -138,13 +138,13 @@
         return int(head.lower().partition(b"x-timeout-ms:")[2].split()[0])
 
     downstream = site.scheduler.downstream
-    most, downstream.most = downstream.most, -100
+    most, downstream.max_connections = downstream.max_connections, -100
     await site.client()
     a = await site.client()
     await a.send(request("r1"))
     await site.pass_ms(800)
-    downstream.most = most
-    downstream._room.set()
+    downstream.max_connections = most
+    downstream._connection_closed.set()
     worker = await site.workers[0].accept()
     assert 4150 <= told(await worker.read(b"\r\n\r\n")) <= 4200
     await worker.send(done("r1"))
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -373,7 +373,7 @@
     assert site.counters["in.streams"] == 1
     a.close()
     await settle()
-    assert not site.scheduler.downstream.links
+    assert not site.scheduler.downstream.connections
     assert await worker.quiet() and not await site.workers[0].called()
 
 
@@ -434,7 +434,7 @@
 async def test_small_answers_are_not_held_back_on_either_side(site):
     a = await site.client()
     await serve_one(site, a, "r1")
-    (link,) = site.scheduler.downstream.links
+    (link,) = site.scheduler.downstream.connections
     (host,) = site.scheduler.upstream.hosts.values()
     for stream in (link.stream, host.idle[0].stream):
         assert stream.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -624,7 +624,7 @@
             with ours, theirs:
                 theirs.send(b"x")  # something stands in the queue
                 world.downstream._nursery = nursery
-                await world.downstream.take_rest(SimpleNamespace(socket=ours, accept=accept))
+                await world.downstream.accept_queued(SimpleNamespace(socket=ours, accept=accept))
             nursery.cancel_scope.cancel()
 
     trio.run(main, clock=MockClock(autojump_threshold=0))
