--- a/molespur/net/service.py
+++ b/molespur/net/service.py
@@ -55,7 +55,7 @@
         if stance.until != float("inf"):
             self._timer = self.wheel.after(stance.until - now, self._apply_stance)
 
-    async def gone(self, listener) -> None:
+    async def wait_closed(self, listener) -> None:
         """Return once the listener is closed and all accepted requests have a response."""
         await self.stopped_accepting.wait()
         await self.downstream.accept_queued(listener)
--- a/molespur/scheduler.py
+++ b/molespur/scheduler.py
@@ -108,7 +108,7 @@
             self.succession.serving(self.service, listener.socket, self.listed)
         self.service.tell(Told.READY)
         try:
-            await self.service.gone(listener)
+            await self.service.wait_closed(listener)
         finally:
             if self.succession is not None:
                 self.succession.close()
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -315,7 +315,7 @@
         assert (why or "") == " ".join(words), why
         if verb == "stop":
             listener = types.SimpleNamespace(aclose=trio.lowlevel.checkpoint)
-            self.nursery.start_soon(self.service.gone, listener)
+            self.nursery.start_soon(self.service.wait_closed, listener)
 
     async def until(self, condition):
         with trio.fail_after(10):
