--- a/molespur/net/failure.py
+++ b/molespur/net/failure.py
@@ -12,7 +12,7 @@
     CONNECTING = 0
     WRITING = 1
     SENT = 2
-    ANSWERING = 3
+    RESPONDING = 3
 
 
 class Cause(Enum):
@@ -21,7 +21,7 @@
     BROKEN = "connection was refused, broke or ended early"
     TIMED_OUT = "no response in time"
     MALFORMED = "malformed response"
-    TURNED_AWAY = "rejected or handed back before the job started"
+    REJECTED = "rejected or handed back before the job started"
     ERROR = "error response"
     LOST = "job was killed"
     CANCELLED = "cancelled"
@@ -48,7 +48,7 @@
             return Outcome.CANCELLED
         if self.cause is Cause.NOT_SENT:
             return Outcome.MOOT
-        if self.cause is Cause.TURNED_AWAY:
+        if self.cause is Cause.REJECTED:
             return Outcome.FULL
         if self.stage < Stage.SENT:
             return Outcome.CONNECT_FAILED
--- a/molespur/net/upstream.py
+++ b/molespur/net/upstream.py
@@ -459,7 +459,7 @@
             response = await connection.next_event()
         if type(response) is not h11.Response:
             raise h11.RemoteProtocolError("connection ended without a response")
-        request.stage = Stage.ANSWERING
+        request.stage = Stage.RESPONDING
         if response.status_code != 200:
             self._fail_by_status(request, response)
         else:
@@ -474,7 +474,7 @@
         report = report_from(parse_load(headers.get(b"x-server-load", b"").decode("latin-1")))
         status = response.status_code
         not_processed = status in (503, 504) and headers.get(b"x-not-processed", b"").strip() == b"1"
-        request.fail(Cause.TURNED_AWAY if not_processed else Cause.ERROR, f"status {status}", report)
+        request.fail(Cause.REJECTED if not_processed else Cause.ERROR, f"status {status}", report)
 
     async def _read_lines(self, request: UpstreamRequest, connection: Connection) -> None:
         """Read the response lines of an accepted job up to the one that settles it."""
@@ -508,7 +508,7 @@
         elif line.state == RETURNED:
             # A host that has reported the job's start can no longer claim that it never ran.
             request.fail(
-                Cause.MALFORMED if request.job_started else Cause.TURNED_AWAY, "job was handed back", report
+                Cause.MALFORMED if request.job_started else Cause.REJECTED, "job was handed back", report
             )
         elif line.state == "started":
             request.job_started = True
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -184,7 +184,7 @@
 @pytest.mark.parametrize("cause", Cause)
 @pytest.mark.parametrize("stage", Stage)
 def test_only_proof_counts_as_never_ran(stage, cause):
-    proof = stage < Stage.SENT or cause in (Cause.TURNED_AWAY, Cause.NOT_SENT)
+    proof = stage < Stage.SENT or cause in (Cause.REJECTED, Cause.NOT_SENT)
     never = Failure(stage, cause).outcome in NEVER_RAN
     assert never == (proof and cause is not Cause.CANCELLED)
 
--- a/tests/test_stream_machine.py
+++ b/tests/test_stream_machine.py
@@ -19,8 +19,8 @@
 RESULTS = [
     Served(b"it"), Failure(Stage.CONNECTING, Cause.BROKEN), Failure(Stage.CONNECTING, Cause.NOT_SENT),
     Failure(Stage.SENT, Cause.BROKEN), Failure(Stage.SENT, Cause.TIMED_OUT),
-    Failure(Stage.ANSWERING, Cause.ERROR), Failure(Stage.ANSWERING, Cause.TURNED_AWAY),
-    Failure(Stage.ANSWERING, Cause.MALFORMED), Failure(Stage.ANSWERING, Cause.LOST),
+    Failure(Stage.RESPONDING, Cause.ERROR), Failure(Stage.RESPONDING, Cause.REJECTED),
+    Failure(Stage.RESPONDING, Cause.MALFORMED), Failure(Stage.RESPONDING, Cause.LOST),
 ]  # fmt: skip
 
 
@@ -139,12 +139,12 @@
     @rule(data=st.data(), result=st.sampled_from(RESULTS))
     def end(self, data, result):
         attempt = self.one_out(data)
-        attempt.request.stage = result.stage if isinstance(result, Failure) else Stage.ANSWERING
+        attempt.request.stage = result.stage if isinstance(result, Failure) else Stage.RESPONDING
         attempt.request.settle(result)
         attempt.request.settle(result)  # a second word changes nothing
 
     @precondition(lambda self: self.upstream.out)
-    @rule(data=st.data(), stage=st.sampled_from([Stage.WRITING, Stage.SENT, Stage.ANSWERING]))
+    @rule(data=st.data(), stage=st.sampled_from([Stage.WRITING, Stage.SENT, Stage.RESPONDING]))
     def come_on(self, data, stage):
         request = self.one_out(data).request
         request.stage = max(request.stage, stage)
