--- a/molespur/net/counters.py
+++ b/molespur/net/counters.py
@@ -4,12 +4,16 @@
 
 import msgspec
 
-PASSED, DROPPED, BAD_GATEWAY = ENDS = ("passed", "dropped", "bad_gateway")  # jobs by their final response
-TRIES = "upstream_tries"  # completely written upstream requests
+PASSED, DROPPED, BAD_GATEWAY = FINAL_RESPONSES = (
+    "passed",
+    "dropped",
+    "bad_gateway",
+)  # jobs by their final response
+UPSTREAM_TRIES = "upstream_tries"  # completely written upstream requests
 LOADS, LOAD_ERRORS = "loads", "load_errors"  # reloads of the configuration that succeeded and failed
 
 
-def end_of(end: str, job_class: str) -> str:
+def response_counter(end: str, job_class: str) -> str:
     """The name of the counter of a class's jobs with this final response."""
     return f"{end}.{job_class}"
 
--- a/molespur/net/downstream.py
+++ b/molespur/net/downstream.py
@@ -8,7 +8,7 @@
 import trio
 
 from .. import logs
-from .counters import BAD_GATEWAY, DROPPED, PASSED, end_of
+from .counters import BAD_GATEWAY, DROPPED, PASSED, response_counter
 from .failure import Served
 from .host import Arrival, Failed, Refused
 from .intake import MAX_BODY_BYTES, Rejection, check_framing, check_request, class_of
@@ -297,7 +297,7 @@
             return False
         await self._send_final(client, response)
         # Counted once and only here: a response for a client that has disconnected is not counted.
-        self.counters[end_of(RESPONSE_COUNTERS[type(response)], arrival.job_class)] += 1
+        self.counters[response_counter(RESPONSE_COUNTERS[type(response)], arrival.job_class)] += 1
         return (
             client.http.our_state is h11.DONE
             and client.http.their_state is h11.DONE
@@ -472,7 +472,7 @@
         if client.http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             await self._respond(client, problem.status, f"{problem}\n".encode(), close=True)
             if problem.job_class in self.host.classes:
-                self.counters[end_of(DROPPED, problem.job_class)] += 1
+                self.counters[response_counter(DROPPED, problem.job_class)] += 1
 
     async def _close_lingering(self, client: ClientConnection) -> None:
         """Close in order: shut down sending, then discard what still arrives, within limits.
--- a/molespur/net/upstream.py
+++ b/molespur/net/upstream.py
@@ -12,7 +12,7 @@
 from .. import logs
 from ..config import report_from
 from ..interface import Outcome
-from .counters import TRIES
+from .counters import UPSTREAM_TRIES
 from .failure import Cause, Failure, Served, Stage
 
 log = logs.get(__name__)
@@ -453,7 +453,7 @@
         # Its return separates "never ran" from "may have run".
         await connection.stream.send_all(head + body + http.send(h11.EndOfMessage()))
         request.stage = Stage.SENT
-        self.counters[TRIES] += 1
+        self.counters[UPSTREAM_TRIES] += 1
         response = await connection.next_event()
         while type(response) is h11.InformationalResponse:
             response = await connection.next_event()
--- a/molespur/operations/figures.py
+++ b/molespur/operations/figures.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from ..net.counters import ENDS, LOAD_ERRORS, LOADS, TRIES, end_of
+from ..net.counters import FINAL_RESPONSES, LOAD_ERRORS, LOADS, UPSTREAM_TRIES, response_counter
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,10 +20,14 @@
     names = dict.fromkeys(classes)
     for key in counts:
         end, _, job_class = key.partition(".")
-        if end in ENDS:
+        if end in FINAL_RESPONSES:
             names[job_class] = None
-    found = {end_of(end, name): counts.get(end_of(end, name), 0) for end in ENDS for name in names}
-    found |= {key: counts.get(key, 0) for key in (TRIES, LOADS, LOAD_ERRORS)}
+    found = {
+        response_counter(end, name): counts.get(response_counter(end, name), 0)
+        for end in FINAL_RESPONSES
+        for name in names
+    }
+    found |= {key: counts.get(key, 0) for key in (UPSTREAM_TRIES, LOADS, LOAD_ERRORS)}
     found |= {
         "in_progress": gauges.in_progress,
         "known_records_workers": gauges.known,
--- a/tests/operations/test_calls.py
+++ b/tests/operations/test_calls.py
@@ -5,7 +5,7 @@
 from trio.testing import MockClock, memory_stream_pair, wait_all_tasks_blocked
 
 from molespur.lifecycle import Process, Told
-from molespur.net.counters import BAD_GATEWAY, DROPPED, PASSED, TRIES, Counters, end_of
+from molespur.net.counters import BAD_GATEWAY, DROPPED, PASSED, UPSTREAM_TRIES, Counters, response_counter
 from molespur.net.wheel import Wheel
 from molespur.operations.calls import Calls
 from molespur.operations.figures import Gauges, figures
@@ -58,7 +58,12 @@
 
 
 def test_figures_name_each_class_once_and_keep_a_dropped_ones():
-    counts = {end_of(PASSED, "a"): 3, end_of(DROPPED, "old"): 2, TRIES: 7, "in.streams": 9}
+    counts = {
+        response_counter(PASSED, "a"): 3,
+        response_counter(DROPPED, "old"): 2,
+        UPSTREAM_TRIES: 7,
+        "in.streams": 9,
+    }
     lines = figures(counts, ["a", "b"], Gauges(4, 14, 1))
     assert len(lines) == len(set(lines)) == 15
     for line in (
@@ -67,7 +72,7 @@
         "app.known_records_workers=14", "app.skipped_records_workers=1",
     ):  # fmt: skip
         assert line in lines
-    assert not any("streams" in line for line in lines) and end_of(BAD_GATEWAY, "a") not in counts
+    assert not any("streams" in line for line in lines) and response_counter(BAD_GATEWAY, "a") not in counts
 
 
 def on_the_listener(scenario):
