--- a/molespur/fleet/uses.py
+++ b/molespur/fleet/uses.py
@@ -114,7 +114,7 @@
         """What we have spent of a budget within its grace."""
         kind, _, worker = budget.partition("/")
         if kind == CONNECTIONS:
-            return float(self.upstream.open_to(worker))
+            return float(self.upstream.open_connections(worker))
         part, sent_since = self._cold.get(worker, (0.0, False))
         # guards against lending what has just been sent: until the module tells anew, all of ours counts
         return max(part, self._told.parts.get(worker, 0.0)) if sent_since else part
@@ -143,7 +143,7 @@
                 most = machine.available(f"{CONNECTIONS}/{uid}", now) + NEARLY
                 if self.adapts:
                     most = min(most, self._limit(uid).limit)
-                self.upstream.bound(uid, int(most))
+                self.upstream.set_max_open(uid, int(most))
             born = placed.entry.born_ms
             if COLD in kinds and born and now - born < self.host.settings.cold_ms:
                 parts[uid] = machine.available(f"{COLD}/{uid}", now)
@@ -211,7 +211,7 @@
     def _ended(self, worker: str, job_class: str, outcome: Outcome, elapsed_ms: float) -> None:
         if outcome is Outcome.OK:
             if CONNECTIONS in self.machine.share.kinds:
-                self._limit(worker).sample(elapsed_ms, self.upstream.open_to(worker))
+                self._limit(worker).sample(elapsed_ms, self.upstream.open_connections(worker))
             self.tell(Ended(worker, self.usual.too_slow(job_class, elapsed_ms)))
             return
         self._failing = True
--- a/molespur/net/upstream.py
+++ b/molespur/net/upstream.py
@@ -191,7 +191,7 @@
         self.config, self.wheel, self.clock, self.counters = config, wheel, clock, counters
         self.nursery, self.max_connections, self.dial = nursery, max_connections, dial
         self.hosts: dict[str, UpstreamHost] = {}
-        self.count = 0  # connections that are open or being opened
+        self.connection_count = 0  # connections that are open or being opened
         self.keeping = True  # connections are kept between requests
         # Whether the fleet's budget allows another connection to the host (uid, number of connections to it).
         # None without a budget.
@@ -207,7 +207,7 @@
     def resize(self, max_connections: int) -> None:
         """Set the maximum of connections.  Those in use beyond it are closed when their requests end."""
         self.max_connections = max_connections
-        excess = self.count - max_connections
+        excess = self.connection_count - max_connections
         for host in self.hosts.values():
             excess -= self._close_idle(host, max(len(host.idle) - max(excess, 0), 0))
 
@@ -231,12 +231,12 @@
         self.drop(uid)
         self.hosts[uid] = UpstreamHost(uid, address, started, accepts_work=accepts_work)
 
-    def open_to(self, uid: str) -> int:
+    def open_connections(self, uid: str) -> int:
         """Number of connections to an upstream host, including those being opened."""
         host = self.hosts.get(uid)
         return host.open if host is not None else 0
 
-    def bound(self, uid: str, max_open: int) -> None:
+    def set_max_open(self, uid: str, max_open: int) -> None:
         """Limit connections to an upstream host: closes idle ones now, others when they are released."""
         host = self.hosts.get(uid)
         if host is not None:
@@ -264,7 +264,7 @@
         self.nursery.start_soon(self._close, connection)
 
     async def _close(self, connection: Connection) -> None:
-        self.count -= 1
+        self.connection_count -= 1
         connection.host.open -= 1
         await trio.aclose_forcefully(connection.stream)
 
@@ -307,7 +307,7 @@
 
     def _make_room(self) -> bool:
         """Make room for another connection: at the limit, close the one that has been idle longest."""
-        if self.count < self.max_connections:
+        if self.connection_count < self.max_connections:
             return True
         idle = [host for host in self.hosts.values() if host.idle]
         if idle:
@@ -330,7 +330,7 @@
         if not self._make_room():
             return Failure(Stage.CONNECTING, Cause.NOT_SENT, "too many upstream connections")
         self.counters["upstream.dialled"] += 1
-        self.count += 1
+        self.connection_count += 1
         host.open += 1
         stream, reason = None, "connect timed out"
         try:
@@ -340,7 +340,7 @@
             reason = str(problem)
         finally:
             if stream is None:
-                self.count -= 1
+                self.connection_count -= 1
                 host.open -= 1
                 host.wake(1)
         return Connection(stream, host) if stream else Failure(Stage.CONNECTING, Cause.BROKEN, reason)
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -332,7 +332,7 @@
             assert (trio.current_time() - self.start) * 1000 <= int(verb)
         elif who == "budget":
             self.upstream.may_open = lambda _, have: have < int(verb)
-            self.upstream.bound("w1", int(verb))
+            self.upstream.set_max_open("w1", int(verb))
         elif who in ("program", "front"):
             await self.program(verb, words)
         elif who == "retune":
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -202,7 +202,7 @@
     await site.pass_ms(600)
     assert seen == [b""]
     assert site.counters["sent.timeout"] == 1 and site.counters["upstream.exceptions"] == 0
-    assert site.scheduler.upstream.count == 0
+    assert site.scheduler.upstream.connection_count == 0
 
 
 @pytest.mark.parametrize("late", [False, True], ids=["in time", "late"])
@@ -312,7 +312,7 @@
                 await worker.send(more)
         status = b" 200 " if form == "what follows it" else b" 503 "
         assert status in await a.read(b"\r\n")
-        assert site.scheduler.upstream.count == 0
+        assert site.scheduler.upstream.connection_count == 0
 
     play()
 
