--- a/tests/test_endings_process.py
+++ b/tests/test_endings_process.py
@@ -1,4 +1,4 @@
-"""A real process told to end, or killed, with requests in flight."""
+"""A real process that is stopped or killed with requests in flight."""
 
 import json
 import signal
@@ -26,8 +26,8 @@
     return socket.create_connection(pair(site.listen), 5)
 
 
-def answer(sock):
-    """The whole answer to one job."""
+def response(sock):
+    """Read the complete response to one job."""
     text = b""
     while b"\r\n\r\n" not in text or not text.partition(b"\r\n\r\n")[2]:
         data = sock.recv(65536)
@@ -36,34 +36,34 @@
     return text
 
 
-def test_sigterm_loses_nothing_that_was_taken(site):
-    """In flight, on a kept connection, in pieces, pipelined, and connected without a word as yet."""
+def test_sigterm_loses_no_accepted_request(site):
+    """In flight, on a kept connection, sent in parts, pipelined, and on a connection silent so far."""
     program = site.start()
-    kept, flying, pieces, piped, silent = (connect(site) for _ in range(5))
+    kept, in_flight, partial, pipelined, silent = (connect(site) for _ in range(5))
     kept.sendall(job("k1"))
-    assert b"k1" in answer(kept)
-    flying.sendall(job("f1"))
-    pieces.sendall(job("p1")[:30])
-    piped.sendall(job("q1") + job("q2"))
+    assert b"k1" in response(kept)
+    in_flight.sendall(job("f1"))
+    partial.sendall(job("p1")[:30])
+    pipelined.sendall(job("q1") + job("q2"))
     program.send_signal(signal.SIGTERM)
     kept.sendall(job("k2"))
-    assert b"k2" in answer(kept)
-    pieces.sendall(job("p1")[30:])
+    assert b"k2" in response(kept)
+    partial.sendall(job("p1")[30:])
     silent.sendall(job("s1"))
-    for sock, name in ((flying, b"f1"), (pieces, b"p1"), (silent, b"s1")):
-        text = answer(sock)
+    for sock, name in ((in_flight, b"f1"), (partial, b"p1"), (silent, b"s1")):
+        text = response(sock)
         assert text.startswith(b"HTTP/1.1 200 ") and text.endswith(name)
-    text = answer(piped)
+    text = response(pipelined)
     while b"q2" not in text:
-        text += piped.recv(65536)
+        text += pipelined.recv(65536)
     assert text.count(b"HTTP/1.1 200 ") == 2
-    for sock in (kept, flying, pieces, piped, silent):
-        assert sock.recv(65536) == b""  # the end in order, not a reset
+    for sock in (kept, in_flight, partial, pipelined, silent):
+        assert sock.recv(65536) == b""  # closed in order, not reset
         sock.close()
     assert program.wait(10) == 0
 
 
-def test_with_short_deadlines_the_process_ends_by_itself(site, tmp_path):
+def test_with_short_deadlines_the_process_exits_before_it_would_be_killed(site, tmp_path):
     file = json.loads((tmp_path / "config.json").read_text())
     for profile in file["settings"]["profiles"]:
         profile |= {"deadline": 1500.0, "aim": 1000.0}
@@ -72,12 +72,12 @@
     sock = connect(site)
     sock.sendall(job("r1", 1500))
     program.send_signal(signal.SIGTERM)
-    assert b"r1" in answer(sock)
+    assert b"r1" in response(sock)
     sock.close()
     assert program.wait(10) == 0
 
 
-def test_killed_right_after_an_accept_the_next_process_serves(site):
+def test_after_a_kill_during_a_request_the_next_process_serves(site):
     first = site.start()
     sock = connect(site)
     sock.sendall(job("r1")[:20])
@@ -91,4 +91,4 @@
             raise ConnectionResetError
     with connect(site) as again:
         again.sendall(job("r2"))
-        assert b"r2" in answer(again)
+        assert b"r2" in response(again)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,4 @@
-"""What the scheduler does on its connections, and each failure that it guards against."""
+"""Behavior of the scheduler on its connections, including its handling of each kind of failure."""
 
 import gc
 import socket
@@ -40,7 +40,7 @@
         a expect 200 two
         count in.connections 1
         count upstream.dialled 1""",
-    "a connection that broke once written to was kept too long: the next is not kept as long": """
+    "after a reused connection breaks, idle connections are kept for a shorter time": """
         a send lookup r1
         w1 send r1 done one
         a expect 200 one
@@ -59,7 +59,7 @@
         w1 send r4 done four
         a expect 200 four
         count upstream.dialled 4""",
-    "where the fleet allows no more connections, requests wait for one to come free": """
+    "if the fleet's budget allows no more connections, requests wait for a free one": """
         budget 1
         a send lookup r1
         w1 expect r1
@@ -71,7 +71,7 @@
         b expect 200 two
         within 100
         count upstream.dialled 1""",
-    "a client that leaves makes room for the request that waits": """
+    "a client that disconnects frees its connection for a waiting request": """
         budget 1
         a send lookup r1
         w1 expect r1
@@ -81,7 +81,7 @@
         b expect 200 two
         within 100
         count upstream.dialled 2""",
-    "so does one that leaves while its connection comes up": """
+    "a client that disconnects during the connect frees the connection for a waiting request": """
         budget 1
         w1 hang
         a send lookup r1
@@ -90,7 +90,7 @@
         a close
         w1 expect r2
         within 100""",
-    "requests that wait at a worker that is told to drain go elsewhere at once": f"""
+    "requests that wait for a worker that is drained go elsewhere at once": f"""
         d expect 0
         budget 1
         a send lookup r1
@@ -100,7 +100,7 @@
         d send {LEAVING}
         w2 expect r2
         within 100""",
-    "requests that wait use what the fleet's budget gives them anew, and go on when it gives nothing": """
+    "waiting requests use an increased budget, and give up if there is no increase": """
         budget 1
         a send lookup r1
         w1 expect r1
@@ -112,7 +112,7 @@
         count sent.moot 1
         w1 send r2 done two
         b expect 200 two""",
-    "requests that wait at a worker that is gone go elsewhere at once": f"""
+    "requests that wait for a worker that is removed go elsewhere at once": f"""
         d expect 0
         budget 1
         a send lookup r1
@@ -122,7 +122,7 @@
         d send {LIST % (4, "true", "active")}
         w2 expect r2
         within 100""",
-    "a connection near its idle limit is not used": """
+    "a connection near its idle timeout is not used": """
         a send lookup r1
         w1 send r1 done one
         a expect 200 one
@@ -141,61 +141,61 @@
         w1 send r2 done two
         a expect 200 two
         count upstream.dialled 2""",
-    "a refused connection never ran, so a keyed job may be refused, with a time to come back": """
+    "a job whose connection was refused never ran, so a keyed job is refused with Retry-After": """
         w1 refuse
         a send assessment r1
         a expect 503 retry-after 2.000
         count sent.connect_failed 3""",
-    "a connection that never comes up is given up after the dial time-out": """
+    "a connect without a reply is given up after the dial timeout": """
         w1 hang
         a send assessment r1
         a expect 503
         within 5050
         count sent.connect_failed 3""",
-    "a keyed job that may have run is failed and never refused": """
+    "a keyed job that may have run fails and is never refused": """
         a send assessment r1
         w1 expect r1
         w1 close r1
         a expect 502
         count sent.reset 1""",
-    "unprocessed by the worker's word is full": """
+    "a 503 with X-Not-Processed counts as full": """
         a send assessment r1
         w1 send r1 503 X-Not-Processed=1
         w1 send r1 done again
         a expect 200 again
         count sent.full 1""",
-    "an upstream's bare 503 is an error that may have run and is not passed on": """
+    "a worker's 503 without X-Not-Processed is an error after which the job may have run": """
         a send assessment r1
         w1 send r1 503
         a expect 502
         count sent.error 1""",
-    "handed back after a start may have run": """
+    "a job that is handed back after its start may have run": """
         a send assessment r1
         w1 send r1 running
         w1 send r1 returned
         a expect 502
         count sent.reset 1
         count sent.full 0""",
-    "a line for another id is not served": f"""
+    "a response line for another request id is not served": f"""
         a send lookup r1
         w1 expect r1
         w1 raw r1 HTTP/1.1 200 OK\\r\\nContent-Length: 99{END}{{"id":"r9","state":"done","result":"x"}}\\n
         wait 10
         count sent.reset 1
         count answered.served 0""",
-    "a line that is no JSON is a reset": """
+    "a response line that is not JSON counts as a reset": """
         a send lookup r1
         w1 expect r1
         w1 raw r1 HTTP/1.1 200 OK\\r\\nContent-Length: 99\\r\\n\\r\\n{nonsense\\n
         wait 10
         count sent.reset 1""",
-    "an answer that is no HTTP is a reset": """
+    "a response that is not HTTP counts as a reset": """
         a send lookup r1
         w1 expect r1
         w1 raw r1 nonsense\\r\\n\\r\\n
         wait 10
         count sent.reset 1""",
-    "a client that leaves ends its upstream request": """
+    "a client that disconnects cancels its upstream request": """
         a send lookup r1
         w1 expect r1
         w1 send r1 running
@@ -203,7 +203,7 @@
         w1 expect closed r1
         count answered.client_gone 1
         count sent.cancelled 1""",
-    "a drain: no at once, all goes on until the front knows, then each answer closes and idle ones close": """
+    "a drain fails health checks at once, then closes connections once the front end has noticed": """
         a send lookup r1
         w1 send r1 done one
         a expect 200 one
@@ -224,7 +224,7 @@
         w1 send r3 done three
         b expect 200 close three
         b expect closed""",
-    "the end of a drain: yes at once, and connections are kept again": """
+    "the end of a drain passes health checks at once, and connections are kept again": """
         program evacuate
         wait 400
         program activate
@@ -237,7 +237,7 @@
         w1 send r2 done two
         a expect 200 two
         count in.connections 2""",
-    "a connection that brings nothing is not held through a drain": """
+    "a connection without a request is not kept open through a drain": """
         program evacuate
         a raw POST /lookup HTTP/1.1
         b raw
@@ -246,7 +246,7 @@
         a expect closed
         wait 1000
         b expect closed""",
-    "a request in pieces amid a drain that is whole in time is served, a later one is refused": f"""
+    "during a drain a request that completes in time is served, a later one is refused": f"""
         a send lookup r1
         w1 send r1 done one
         a expect 200 one
@@ -261,7 +261,7 @@
         wait 200
         b expect 503 incomplete
         count upstream_tries 2""",
-    "the end of a drain leaves a request in pieces its time": f"""
+    "the end of a drain leaves an incomplete request its usual timeout": f"""
         program evacuate
         wait 100
         a raw {POST}Content-Length: 2\\r\\nX-Request-ID: r1{END}h
@@ -271,7 +271,7 @@
         a raw-on i
         w1 send r1 done one
         a expect 200 one""",
-    "a stop amid a drain ends once all is answered": """
+    "a stop during a drain ends once all requests have a response": """
         a send lookup r1
         w1 expect r1
         program evacuate
@@ -282,7 +282,7 @@
         a expect 200 close one
         a expect closed
         within 2000""",
-    "with a successor nobody is told no, and what is open is answered once": """
+    "with a successor health checks still pass, and each open request gets one response": """
         a send lookup r1
         w1 expect r1
         program successor
@@ -293,7 +293,7 @@
         a expect 200 close one
         a expect closed
         count answered.served 1""",
-    "jobs count under their final answer, and attempts once written": """
+    "jobs are counted by their final response, and attempts when they are written": """
         a send lookup r1
         w1 send r1 done one
         a expect 200 one
@@ -320,13 +320,13 @@
         count dropped.assessment 1
         count upstream_tries 4
         count bad_gateway.assessment 1""",
-    "a silent worker costs no final answer": """
+    "a job on an unresponsive worker still gets its final response": """
         a send assessment r1
         w1 expect r1
         a expect 502
         within 5050
         count sent.timeout 1""",
-    "a module that raises takes nothing else down": """
+    "an exception in the decision module affects only its own stream": """
         a send lookup r1
         w1 expect r1
         break module
@@ -335,7 +335,7 @@
         w1 send r1 done one
         a expect 200 one
         count module.exceptions 1""",
-    "a stream that the module forgets is still answered in time": """
+    "a stream without a response from the decision module is failed in time": """
         mute module
         a send lookup r1
         a expect 502
@@ -349,23 +349,23 @@
         e raw GET /up HTTP/1.1\\r\\nHost: x\\r\\n\\r\\n
         a expect closed
         e expect 200""",
-    "an unknown class": "a send order r1\na expect 404 order\na expect closed",
-    "a class that the path contradicts": "a send lookup r1 X-Priority-Class=assessment\na expect 400",
-    "a time that is no number": "a send lookup r1 X-Timeout-Ms=soon\na expect 400 x-timeout-ms",
+    "an unknown job class": "a send order r1\na expect 404 order\na expect closed",
+    "a class that differs from the path": "a send lookup r1 X-Priority-Class=assessment\na expect 400",
+    "a timeout that is not a number": "a send lookup r1 X-Timeout-Ms=soon\na expect 400 x-timeout-ms",
     "a keyed job without its key": "a send assessment r1 Idempotency-Key=\na expect 400 Idempotency-Key",
     "an oversized body": f"a raw {POST}Content-Length: 70000{END}\na expect 413\na expect closed",
-    "a request that is no HTTP": f"a raw nonsense{END}\na expect 400\na expect closed",
-    "a length that is no number": f"a raw {POST}Content-Length: x{END}\na expect 400\na expect closed",
-    "a request that never ends": f"a raw {POST}Content-Length: 9{END}x\na expect 408\nwithin 2500",
-    "a head that never ends": f"a raw {POST}X-A: \na expect 408\nwithin 2500",
-    "a head without end": f"a raw {POST}X-A: {'y' * 20000}\na expect 431\na expect closed",
-    "a connection that says nothing is closed": "a raw\na expect closed\nwithin 2500",
-    "one that has only asked whether we are up is closed, too": f"""
+    "a request that is not HTTP": f"a raw nonsense{END}\na expect 400\na expect closed",
+    "a length that is not a number": f"a raw {POST}Content-Length: x{END}\na expect 400\na expect closed",
+    "a request whose body never completes": f"a raw {POST}Content-Length: 9{END}x\na expect 408\nwithin 2500",
+    "a head that never completes": f"a raw {POST}X-A: \na expect 408\nwithin 2500",
+    "a head that is too large": f"a raw {POST}X-A: {'y' * 20000}\na expect 431\na expect closed",
+    "a connection that sends nothing is closed": "a raw\na expect closed\nwithin 2500",
+    "a connection that has sent only health checks is closed": f"""
         a raw GET /up HTTP/1.1\\r\\nHost: x{END}
         a expect 200
         a expect closed
         within 2500""",
-    "one that has brought a job is kept": """
+    "a connection that has sent a job is kept": """
         a send lookup r1
         w1 send r1 done one
         a expect 200 one
@@ -385,12 +385,12 @@
         a raw {POST}X-Request-ID: r1\\r\\nContent-Length: 2{END}hi there
         a expect 400 longer
         count in.streams 0""",
-    "a request in the body of another is not passed on": f"""
+    "a request smuggled in another's body is not forwarded": f"""
         a raw {POST}Content-Length: 30\\r\\nTransfer-Encoding: chunked{END}0{END}{POST}X-Request-ID: r2{END}
         a expect 400 both
         a expect closed
         count in.streams 0""",
-    "the id of an open request; the first goes on unharmed": """
+    "a request with the id of an open one is rejected, and the first is served": """
         a send lookup r1
         w1 expect r1
         b send lookup r1
@@ -399,7 +399,7 @@
         w1 send r1 done one
         a expect 200 one
         count sent.requests 1""",
-    "silent connections make room before one that has brought a job": """
+    "silent connections are closed before one that has sent a job": """
         a send lookup r1
         w1 send r1 done one
         a expect 200 one
@@ -414,7 +414,7 @@
         w1 send r3 done three
         a expect 200 three
         count in.shed 1""",
-    "connections that stand idle are closed where clients hold nearly all that they may": """
+    "idle connections are closed when clients hold nearly as many as they may": """
         a send lookup r1
         w1 send r1 done one
         a expect 200 one
@@ -430,7 +430,7 @@
         w1 send r4 done four
         b expect 200 four
         count in.thinned 1""",
-    "bodies together take no more than their share of memory": f"""
+    "all bodies together are limited to their share of memory": f"""
         a raw {POST}Content-Length: 60000{END}{"x" * 50000}
         b raw {POST}Content-Length: 60000{END}{"x" * 50000}
         b expect 503 bodies
@@ -439,11 +439,11 @@
         c send lookup r1
         w1 send r1 done one
         c expect 200 one""",
-    "a time with a fraction": "a send lookup r1 X-Timeout-Ms=1e3\na expect 400 x-timeout-ms",
-    "a negative time": "a send lookup r1 X-Timeout-Ms=-1\na expect 400 x-timeout-ms",
+    "a timeout in float notation": "a send lookup r1 X-Timeout-Ms=1e3\na expect 400 x-timeout-ms",
+    "a negative timeout": "a send lookup r1 X-Timeout-Ms=-1\na expect 400 x-timeout-ms",
     "a job without an id": "a send lookup r1 X-Request-ID=\na expect 400 X-Request-ID",
-    "jobs come by POST": f"a raw GET /lookup HTTP/1.1\\r\\nHost: x{END}\na expect 405\na expect closed",
-    "the watch tells of a new worker": f"""
+    "a wrong method": f"a raw GET /lookup HTTP/1.1\\r\\nHost: x{END}\na expect 405\na expect closed",
+    "the watch announces a new worker": f"""
         d expect 0
         d send {LIST % (4, "true", "active")}
         a send lookup r1
@@ -452,7 +452,7 @@
         d close
         d expect 4
         count cluster.errors 1""",
-    "a silent watch is an error, and is asked for again": """
+    "a silent watch is an error and is opened again": """
         d expect 0
         d send
         wait 2900
@@ -464,14 +464,14 @@
         d send
         wait 2900
         count cluster.calls 2""",
-    "a malformed line is an error of the watch, and the old list stands": """
+    "a malformed line is an error of the watch, and the old list stays in force": """
         d expect 0
         d send {"rev":9,"all":true,"targets":[{"uid":"w2","endpoint":"nowhere"}]}
         a send lookup r1
         w1 send r1 done one
         a expect 200 one
         count cluster.errors 1""",
-    "a new discovery is asked at once for the whole list; streams and the old list stand till then": f"""
+    "a new discovery address is called at once for the full list; until then the old list is used": f"""
         d expect 0
         d send {LIST % (7, "false", "leaving")}
         a send lookup r1
@@ -490,7 +490,7 @@
         d close
         d expect 4
         within 3000""",
-    "a new discovery that tells only of changes has not told its list": f"""
+    "changes without the full list from a new discovery address are an error": f"""
         d expect 0
         move discovery 9
         d expect whole
@@ -498,7 +498,7 @@
         count cluster.errors 1
         wait 2000
         d expect whole""",
-    "a stop serves what is taken and arrives in the grace time, and closes what is idle after it": """
+    "a stop serves requests that arrive in the grace period, then closes idle connections": """
         e send lookup r0
         w1 send r0 done zero
         e expect 200 zero
@@ -518,7 +518,7 @@
         w1 send r1 done one
         a expect 200 one connection close
         within 2700""",
-    "a stop answers what is still out before we are killed": """
+    "a stop responds to requests in flight before the process is killed": """
         a send lookup r1
         w1 expect r1
         program stop
@@ -526,7 +526,7 @@
         a expect closed
         within 3450
         count answered.at_the_end 1""",
-    "a worker that has started anew gets a new connection": """
+    "a worker that has restarted gets a new connection": """
         a send lookup r1
         w1 send r1 done one
         a expect 200 one
@@ -535,13 +535,13 @@
         w1 send r2 done two
         a expect 200 two
         count upstream.dialled 2""",
-    "nothing is sent to a worker that leaves, and its jobs are answered in time": """
+    "nothing is sent to a draining worker, and jobs still get a response in time": """
         d send {"rev":1,"all":false,"targets":[{"uid":"w1","endpoint":"127.0.0.1:3001","state":"leaving"}]}
         a send assessment r1
         a expect 503
         within 5050
         count sent.requests 0""",
-    "an unchanged list answers the watch": """
+    "an unchanged list fulfills the decision module's Watch": """
         d expect 0
         d send
         wait 2000
@@ -558,8 +558,8 @@
     play(CASES[name])
 
 
-def test_giving_up_while_writing_may_have_run():
-    """Guards against a refusal of a job whose last byte the kernel took just as its time ran out."""
+def test_a_request_abandoned_while_it_is_written_may_have_run():
+    """The kernel may take the last byte just as the timeout fires, so the job must not count as never run."""
     seen = []
     request = UpstreamRequest(None, 1.0, 1.0, seen.append, None)
     request.stage = Stage.WRITING
@@ -568,8 +568,8 @@
     assert [result.outcome for result in seen] == [Outcome.TIMEOUT]
 
 
-def test_a_process_that_hands_over_probes_no_more():
-    """Guards against connections that are opened for a probe each, since none is kept then."""
+def test_a_process_that_hands_over_sends_no_probes():
+    """It keeps no connections, so each probe would open a new one."""
     before = "w1 expect /metrics/load\nwait 1000\ncount upstream.dialled 1\nprogram successor\n"
     after = "wait 2000\ncount upstream.dialled 1\nprogram alone\nwait 1000\ncount upstream.dialled 2"
     play(before + after, probing=True)
@@ -580,7 +580,7 @@
 
 
 def test_streams_leave_no_cycles_behind():
-    """Guards against garbage that only full collections free: they stopped the loop for 150 ms at a time."""
+    """Cycles are freed only by full garbage collections, which stopped the event loop for 150 ms each."""
 
     async def main():
         async with trio.open_nursery() as nursery:
@@ -600,9 +600,9 @@
             gc.set_debug(gc.DEBUG_SAVEALL)
             gc.collect()
             found = Counter(type(one).__name__ for one in gc.garbage)
-            ours = ("Stream", "Job", "Attempt", "UpstreamRequest", "ClientConnection", "Payload", "Timer")
+            watched = ("Stream", "Job", "Attempt", "UpstreamRequest", "ClientConnection", "Payload", "Timer")
             nursery.cancel_scope.cancel()
-        assert not [f"{name}: {found[name]}" for name in ours if found[name]], found
+        assert not [f"{name}: {found[name]}" for name in watched if found[name]], found
 
     try:
         trio.run(main, clock=MockClock(autojump_threshold=0))
@@ -612,7 +612,7 @@
         gc.enable()
 
 
-def test_a_connection_that_is_reset_in_the_queue_does_not_stop_the_orderly_end():
+def test_a_connection_reset_in_the_listener_queue_does_not_prevent_the_orderly_shutdown():
     async def main():
         async with trio.open_nursery() as nursery:
             world = World(nursery, {})
@@ -622,7 +622,7 @@
                 raise ConnectionAbortedError("reset")
 
             with ours, theirs:
-                theirs.send(b"x")  # something stands in the queue
+                theirs.send(b"x")  # makes the listener's queue look non-empty
                 world.downstream._nursery = nursery
                 await world.downstream.accept_queued(SimpleNamespace(socket=ours, accept=accept))
             nursery.cancel_scope.cancel()
@@ -630,12 +630,12 @@
     trio.run(main, clock=MockClock(autojump_threshold=0))
 
 
-def test_a_stop_is_told_whatever_the_look_at_others_meets():
+def test_a_stop_takes_effect_even_if_looking_for_other_processes_fails():
     def look():
-        raise RuntimeError("broken by the test")
+        raise RuntimeError("injected by the test")
 
-    told = []
-    parts = {"succession": SimpleNamespace(look=look), "service": SimpleNamespace(tell=told.append)}
+    events = []
+    parts = {"succession": SimpleNamespace(look=look), "service": SimpleNamespace(tell=events.append)}
     parts |= {"fleet": None, "fleet_record": None}
     Scheduler.stop(SimpleNamespace(**parts))
-    assert told == [Told.STOP]
+    assert events == [Told.STOP]
--- a/tests/test_stream_machine.py
+++ b/tests/test_stream_machine.py
@@ -1,4 +1,4 @@
-"""State machines driven at random: how streams and attempts end, and how the process does."""
+"""Random state machines for the ends of streams and attempts, and for the lifecycle of the process."""
 
 import heapq
 
@@ -24,8 +24,8 @@
 ]  # fmt: skip
 
 
-class Time:
-    """Clock and wheel in one: calls come when time is made to pass."""
+class FakeTime:
+    """Clock and timer wheel in one.  Timers fire when the test advances the time."""
 
     def __init__(self):
         self.at, self.calls, self.serial = 1000.0, [], 0
@@ -39,7 +39,7 @@
         heapq.heappush(self.calls, (self.at + max(delay_ms, 1.0), self.serial, timer, call, args))
         return timer
 
-    def go_on(self, ms):
+    def advance(self, ms):
         end = self.at + ms
         while self.calls and self.calls[0][0] <= end:
             self.at, _, timer, call, args = heapq.heappop(self.calls)
@@ -56,27 +56,27 @@
 
 
 class Upstream:
-    """Takes attempts; the machine ends them."""
+    """Records attempts; the state machine ends them."""
 
     keeping = True
 
     def __init__(self, machine):
-        self.machine, self.out = machine, []
+        self.machine, self.in_flight = machine, []
 
     def send(self, worker, payload, until, begin_by, ended, progressed):
         stream = self.machine.streams[payload]
-        assert begin_by <= until, "to be begun after it is given up"
-        assert not stream.answers and not stream.gone, "sent for a stream that is over"
-        assert self.machine.lives.get(worker) is Lifecycle.IN_SERVICE, "sent to a worker not in service"
-        assert not self.machine.host.is_closed, "sent after the end"
+        assert begin_by <= until, "may be written after it is abandoned"
+        assert not stream.responses and not stream.disconnected, "sent for a closed stream"
+        assert self.machine.lifecycles.get(worker) is Lifecycle.IN_SERVICE, "sent to a worker not in service"
+        assert not self.machine.host.is_closed, "sent after all streams were closed"
         stream.attempts += 1
         attempt = Attempt(self, stream)
 
-        def told(result):
+        def settled(result):
             attempt.ended(result, ended)
 
-        attempt.request = UpstreamRequest(payload, until, begin_by, told, progressed)
-        self.out.append(attempt)
+        attempt.request = UpstreamRequest(payload, until, begin_by, settled, progressed)
+        self.in_flight.append(attempt)
         return attempt.request
 
     def probe(self, worker, ended):
@@ -87,88 +87,88 @@
     def __init__(self, upstream, stream):
         self.upstream, self.stream, self.outcomes = upstream, stream, 0
 
-    def ended(self, result, tell):
+    def ended(self, result, report):
         self.outcomes += 1
         assert self.outcomes == 1, "two outcomes of one attempt"
-        self.upstream.out.remove(self)
+        self.upstream.in_flight.remove(self)
         self.stream.ended += 1
-        tell(result)
+        report(result)
 
 
 class Client:
-    """What the machine knows of one stream."""
+    """The expected state of one stream."""
 
     def __init__(self, job_class, deadline):
-        self.job_class, self.deadline, self.answers, self.gone = job_class, deadline, [], False
+        self.job_class, self.deadline, self.responses, self.disconnected = job_class, deadline, [], False
         self.attempts = self.ended = 0
 
 
 class Streams(RuleBasedStateMachine):
     @initialize(cancel=st.booleans(), attempts=st.integers(1, 4))
     def begin(self, cancel, attempts):
-        self.time, self.streams = Time(), {}
-        self.lives = {f"w{i}": Lifecycle.IN_SERVICE for i in range(3)}
+        self.time, self.streams = FakeTime(), {}
+        self.lifecycles = {f"w{i}": Lifecycle.IN_SERVICE for i in range(3)}
         self.given = Settings(classes=CLASSES, max_attempts=attempts, may_cancel=cancel, may_probe=True)
         self.host = Host(Dispatcher(self.given, 1), self.time, self.time, Counters(), self.given, 20)
         self.upstream = Upstream(self)
         self.host.connect(self.upstream, self)
         self.host.deliver(io.Started())
-        entries = tuple(entry(name) for name in self.lives)
+        entries = tuple(entry(name) for name in self.lifecycles)
         self.host.deliver(io.FleetNews(NewsMode.COMPLETE, entries))
 
-    # the cluster, as the host asks it
+    # The interface of Cluster that the host uses.
     def lifecycle(self, worker):
-        return self.lives.get(worker)
+        return self.lifecycles.get(worker)
 
     def watch(self):
         pass
 
     @rule(job_class=st.sampled_from([c.name for c in CLASSES]), left=st.sampled_from([30.0, 200.0, 3000.0]))
-    def take(self, job_class, left):
+    def accept(self, job_class, left):
         if job_class not in self.host.classes:
             return
         name = len(self.streams)
         client = self.streams[name] = Client(job_class, self.time.at + left)
-        client.stream = self.host.accept(Arrival(job_class, left, name), client.answers.append)
-        assert client.stream is not None or len(client.answers) == 1
+        client.stream = self.host.accept(Arrival(job_class, left, name), client.responses.append)
+        assert client.stream is not None or len(client.responses) == 1
 
-    def one_out(self, data):
-        return data.draw(st.sampled_from(self.upstream.out))
+    def draw_attempt(self, data):
+        return data.draw(st.sampled_from(self.upstream.in_flight))
 
-    @precondition(lambda self: self.upstream.out)
+    @precondition(lambda self: self.upstream.in_flight)
     @rule(data=st.data(), result=st.sampled_from(RESULTS))
     def end(self, data, result):
-        attempt = self.one_out(data)
+        attempt = self.draw_attempt(data)
         attempt.request.stage = result.stage if isinstance(result, Failure) else Stage.RESPONDING
         attempt.request.settle(result)
-        attempt.request.settle(result)  # a second word changes nothing
+        attempt.request.settle(result)  # a second outcome has no effect
 
-    @precondition(lambda self: self.upstream.out)
+    @precondition(lambda self: self.upstream.in_flight)
     @rule(data=st.data(), stage=st.sampled_from([Stage.WRITING, Stage.SENT, Stage.RESPONDING]))
-    def come_on(self, data, stage):
-        request = self.one_out(data).request
+    def advance_stage(self, data, stage):
+        request = self.draw_attempt(data).request
         request.stage = max(request.stage, stage)
 
-    @precondition(lambda self: any(not s.gone and not s.answers for s in self.streams.values()))
+    @precondition(lambda self: any(not s.disconnected and not s.responses for s in self.streams.values()))
     @rule(data=st.data())
-    def leave(self, data):
-        waiting = [s for s in self.streams.values() if not s.gone and not s.answers]
+    def disconnect(self, data):
+        waiting = [s for s in self.streams.values() if not s.disconnected and not s.responses]
         client = data.draw(st.sampled_from(waiting))
-        client.gone = True
+        client.disconnected = True
         self.host.client_disconnected(client.stream)
-        # whatever the settings forbid: what is not written is withdrawn
-        left = [a.request.stage for a in self.upstream.out if a.stream is client]
-        assert Stage.CONNECTING not in left
+        # An attempt that is not written yet is withdrawn, even if the settings do not allow cancellation.
+        stages = [a.request.stage for a in self.upstream.in_flight if a.stream is client]
+        assert Stage.CONNECTING not in stages
         self.host.client_disconnected(client.stream)
 
     @rule(ms=st.sampled_from([1.0, 20.0, 300.0, 2000.0]))
     def wait(self, ms):
-        self.time.go_on(ms)
+        self.time.advance(ms)
 
-    @rule(worker=st.sampled_from(["w0", "w1", "w2"]), life=st.sampled_from(list(Lifecycle)))
-    def tell(self, worker, life):
-        self.lives[worker] = life
-        self.host.deliver(io.FleetNews(NewsMode.PARTIAL, (entry(worker, life=life),)))
+    @rule(worker=st.sampled_from(["w0", "w1", "w2"]), lifecycle=st.sampled_from(list(Lifecycle)))
+    def update_worker(self, worker, lifecycle):
+        self.lifecycles[worker] = lifecycle
+        self.host.deliver(io.FleetNews(NewsMode.PARTIAL, (entry(worker, life=lifecycle),)))
 
     @rule(classes=st.sets(st.sampled_from(range(len(CLASSES))), min_size=1), attempts=st.integers(1, 4))
     def reload(self, classes, attempts):
@@ -182,26 +182,26 @@
         self.host.close_all_streams()
 
     @invariant()
-    def one_answer(self):
+    def at_most_one_response(self):
         for client in self.streams.values():
-            assert len(client.answers) + client.gone <= 1
+            assert len(client.responses) + client.disconnected <= 1
             assert client.attempts <= 4
             if self.time.at > client.deadline + 45:
-                assert client.gone or client.answers, "unanswered after its time"
+                assert client.disconnected or client.responses, "no response after the deadline"
 
     def teardown(self):
         self.host.close_all_streams()
-        assert all(s.gone or len(s.answers) == 1 for s in self.streams.values())
-        for attempt in list(self.upstream.out):
+        assert all(s.disconnected or len(s.responses) == 1 for s in self.streams.values())
+        for attempt in list(self.upstream.in_flight):
             attempt.request.settle(Failure(Stage.SENT, Cause.BROKEN))
         assert all(s.ended == s.attempts for s in self.streams.values())
         assert not self.host.streams and self.host.open_streams == 0
-        self.time.go_on(10_000)
+        self.time.advance(10_000)
         assert not self.host.dispatcher.jobs
 
 
-class Ends(RuleBasedStateMachine):
-    """The process's life: whatever it is told, and whenever."""
+class ProcessStates(RuleBasedStateMachine):
+    """The serving state of the process, for any events at any times."""
 
     def __init__(self):
         super().__init__()
@@ -226,14 +226,14 @@
         stance, before = self.process.stance(self.now), self.before
         assert stance.until > self.now
         assert not (stance.up and not stance.accepting)
-        assert stance.accepting or stance.closing  # who is not taken on is not kept either
+        assert stance.accepting or stance.closing  # a process that accepts no connections keeps none either
         assert not stance.ended or not stance.accepting
         if before is not None:
             assert not before.ended or stance.ended
-            assert before.accepting or not stance.accepting  # a listener that was left stays left
+            assert before.accepting or not stance.accepting  # a closed listener is not opened again
         if self.process.stopped is not None:
-            # SIGKILL follows the longest deadline, 3 s at most, by 0.7 s: all is answered 0.3 s before it, by
-            # the deadlines as SIGTERM came, however the settings change after it
+            # SIGKILL comes 0.7 s after the longest deadline, which counts as 3 s at most.  All requests get a
+            # response 0.3 s before SIGKILL, by the deadlines at SIGTERM, even if the settings change later.
             assert self.process._stop_ms == min(self.longest, 3000.0) + 400.0
             assert stance.ended == (self.now >= self.process.stopped + self.process._stop_ms)
         self.before = stance
@@ -242,5 +242,5 @@
 quick = run_settings(max_examples=60, stateful_step_count=40, deadline=None, derandomize=True)
 TestStreams = Streams.TestCase
 TestStreams.settings = quick
-TestEnds = Ends.TestCase
-TestEnds.settings = quick
+TestProcessStates = ProcessStates.TestCase
+TestProcessStates.settings = quick
