--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -1,7 +1,7 @@
-"""A whole scheduler in this process on loopback sockets: the test holds its peers and moves its clock.
+"""Runs a complete scheduler in this process on loopback sockets.  The test controls its peers and its clock.
 
-The clock stands still but for `pass_ms`, so nothing depends on how busy the machine is; bytes go over the
-kernel's sockets at once, in the order in which the test sends them.
+The clock advances only through `pass_ms`, so results do not depend on the load of the machine.  Bytes go
+through the kernel's sockets at once, in the order in which the test sends them.
 """
 
 import json
@@ -18,8 +18,8 @@
 from molespur.net.counters import Counters
 from molespur.scheduler import Scheduler
 
-STEP_MS = 50  # of the scripted clock
-REAL_S = 10  # guards against a test that waits for good
+STEP_MS = 50  # of the mock clock
+TEST_TIMEOUT_S = 10  # real time
 
 
 def entry(uid, port, **more):
@@ -31,7 +31,7 @@
 
 
 def settings_with(**parts):
-    """The scenarios' settings with some keys of their parts replaced."""
+    """The scenarios' settings with some keys of their sections replaced."""
     wire = json.loads(json.dumps(SETTINGS))
     for name, value in parts.items():
         wire[name] = wire[name] | value if isinstance(value, dict) and name in wire else value
@@ -39,7 +39,7 @@
 
 
 def profiles_with(**changes):
-    """The scenarios' classes, each with what is given under its name replaced; None drops it.
+    """The scenarios' classes, each updated with the changes under its name; None removes a class.
 
     Each class has all keys, as the platform writes them.
     """
@@ -58,7 +58,7 @@
         await settle()
 
     async def read(self, until: bytes) -> bytes:
-        """What comes up to these bytes, which must come; the rest stays for the next call."""
+        """Read up to and including `until`; the connection must not close before.  The rest is kept."""
         while until not in self.text:
             data = await self.sock.recv(65536)
             assert data, f"closed after {self.text!r}"
@@ -67,13 +67,13 @@
         return before + until
 
     async def read_to_end(self) -> bytes:
-        """All that comes up to the orderly end; a reset raises ConnectionResetError."""
+        """Read up to the orderly close; a reset raises ConnectionResetError."""
         while data := await self.sock.recv(65536):
             self.text += data
         return self.text
 
     async def quiet(self) -> bool:
-        """Whether nothing has come and the connection stands."""
+        """Whether nothing was received and the connection is open."""
         await settle()
         try:
             self.sock._sock.recv(65536, socket.MSG_PEEK)
@@ -90,13 +90,13 @@
         self.sock.close()
 
     def reset(self):
-        """Close so that the other side gets a reset."""
+        """Close with a reset."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.sock.close()
 
 
-class Party:
-    """A listening peer (a worker, discovery); the test takes its connections one by one."""
+class Peer:
+    """A listening peer (a worker or discovery).  The test accepts its connections one by one."""
 
     def __init__(self):
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=512)
@@ -109,7 +109,7 @@
         return Wire(sock)
 
     async def called(self, keep: list | None = None) -> bool:
-        """Whether a connection waits to be taken; it is kept in a list, if one is given, or closed."""
+        """Whether a connection waits to be accepted.  Adds it to `keep` if given, else closes it."""
         await settle()
         try:
             sock, _ = self.listener.accept()
@@ -124,16 +124,16 @@
 
 
 async def settle():
-    """Come back once the scheduler has done all that it can without time going on."""
+    """Return once the scheduler has done everything that it can at the current time."""
     await wait_all_tasks_blocked(0.005)
 
 
 class Site:
-    """A scheduler, discovery and workers `w1`, `w2`, ..  All that is not said is as in the scenarios."""
+    """A scheduler, discovery and workers `w1`, `w2` and so on; by default with the scenarios' settings."""
 
     def __init__(self, nursery, clock, workers=1, wire=None, sockets=1024, known=True, sched=Scheduler):
         self.clock, self.nursery = clock, nursery
-        self.discovery, self.workers = Party(), [Party() for _ in range(workers)]
+        self.discovery, self.workers = Peer(), [Peer() for _ in range(workers)]
         self.wire = wire or settings_with()
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.address = free.getsockname()
@@ -163,9 +163,9 @@
         await settle()
 
     async def watched(self, *lines: bytes) -> Wire:
-        """Take the watch and answer its head, and these lines."""
+        """Accept the watch and respond with a head and these lines."""
         wire = await self.discovery.accept()
-        self.asked = await wire.read(b"\r\n\r\n")
+        self.watch_request = await wire.read(b"\r\n\r\n")
         await wire.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         for line in lines:
             await wire.send(chunk(line + b"\n"))
@@ -178,7 +178,7 @@
         return Wire(sock)
 
     async def reload(self, path, **parts):
-        """SIGHUP, with these parts of the settings other than now; a name given None is dropped."""
+        """Reload with these sections of the settings changed; a section that is None is removed."""
         wire = {k: v for k, v in settings_with(**parts).items() if v is not None}
         listed = {"rev": 1, "all": True, "targets": []}
         file = {"listen": "{}:{}".format(*self.address), "settings": wire, "known": listed}
@@ -189,7 +189,7 @@
         await settle()
 
     async def pass_ms(self, ms: float):
-        """Let time pass, in steps, each of which is carried out before the next."""
+        """Advance the clock in steps, and let the scheduler settle after each."""
         while ms > 0:
             self.clock.jump(min(ms, STEP_MS) / 1000)
             ms -= STEP_MS
@@ -216,21 +216,21 @@
 
 
 def on_loopback(test=None, **options):
-    """Run an async test with a started Site; the scripted clock stands until the test moves it."""
+    """Run an async test with a started Site.  Only the test advances the mock clock."""
 
     def wrap(test):
         def run(*args, **kwargs):
-            clock, late = MockClock(), []
+            clock, timeouts = MockClock(), []
 
             async def main():
                 async with trio.open_nursery() as nursery:
 
-                    def too_long():
-                        late.append(True)
+                    def time_out():
+                        timeouts.append(True)
                         nursery.cancel_scope.cancel()
 
                     token = trio.lowlevel.current_trio_token()
-                    watchdog = threading.Timer(REAL_S, token.run_sync_soon, [too_long])
+                    watchdog = threading.Timer(TEST_TIMEOUT_S, token.run_sync_soon, [time_out])
                     watchdog.start()
                     try:
                         site = Site(nursery, clock, **options)
@@ -241,7 +241,7 @@
                     nursery.cancel_scope.cancel()
 
             trio.run(main, clock=clock)
-            assert not late, f"it waited over {REAL_S} s"
+            assert not timeouts, f"test did not end within {TEST_TIMEOUT_S} s"
 
         run.__name__, run.__doc__ = test.__name__, test.__doc__
         return run
--- a/tests/test_change.py
+++ b/tests/test_change.py
@@ -1,4 +1,4 @@
-"""Settings that change while the program runs: what a file must hold, the rules meanwhile, and one swap."""
+"""Reloads while the program runs: required contents of the file, rules during a change, and the swap."""
 
 import copy
 import json
@@ -26,32 +26,32 @@
 
 
 class Wheel:
-    """Keeps what is to be called later, for the test to call."""
+    """Records timers, which the test fires."""
 
     def __init__(self):
-        self.later = []
+        self.timers = []
 
     def after(self, delay_ms, call, *args):
-        timer = SimpleNamespace(delay_ms=delay_ms, call=lambda: call(*args), off=False)
-        timer.cancel = lambda: setattr(timer, "off", True)
-        self.later.append(timer)
+        timer = SimpleNamespace(delay_ms=delay_ms, call=lambda: call(*args), cancelled=False)
+        timer.cancel = lambda: setattr(timer, "cancelled", True)
+        self.timers.append(timer)
         return timer
 
-    def pass_time(self):
-        due, self.later = [t for t in self.later if not t.off], []
+    def fire_timers(self):
+        due, self.timers = [t for t in self.timers if not t.cancelled], []
         for timer in due:
             timer.call()
 
 
-class Place(Discovery):
-    """The platform's discovery, with nothing behind it."""
+class IdleDiscovery(Discovery):
+    """The platform's discovery without a connection."""
 
     def __init__(self):
         self.address = ("127.0.0.1", 2)
 
 
 class Rig:
-    """A Reload on a real file, with what it swapped in and where it moved."""
+    """A Reload on a real file.  Records the swaps and the moves of the source."""
 
     def __init__(self, tmp_path):
         self.path, self.wheel, self.counters = tmp_path / "config.json", Wheel(), Counters()
@@ -59,7 +59,7 @@
         self.write(FILE)
         environ = {"LB_CONFIG": str(self.path)}
         running = config.load(environ)
-        source = Place()
+        source = IdleDiscovery()
         source.move = self.moved.append
         self.reload = Reload(
             running, lambda c, s: self.swapped.append((c, s)), source, self.wheel, self.counters, environ
@@ -68,7 +68,7 @@
     def write(self, content):
         self.path.write_bytes(content if isinstance(content, bytes) else json.dumps(content).encode())
 
-    def take(self, content):
+    def reload_with(self, content):
         self.write(content)
         self.reload()
 
@@ -79,43 +79,43 @@
 
 
 def changed(**more):
-    """The file with other settings, by path: profiles__0__name="x"; None takes the key out."""
+    """The file with settings changed by path: profiles__0__name="x"; None removes the key."""
     file = copy.deepcopy(FILE)
     for path, value in more.items():
-        *way, last = path.split("__")
-        part = file["settings"]
-        for key in way:
-            part = part[int(key) if key.isdecimal() else key]
+        *parents, last = path.split("__")
+        section = file["settings"]
+        for key in parents:
+            section = section[int(key) if key.isdecimal() else key]
         last = int(last) if last.isdecimal() else last
         if value is None:
-            del part[last]
+            del section[last]
         else:
-            part[last] = value
+            section[last] = value
     return file
 
 
-def without(*way):
+def without(*path):
     file = copy.deepcopy(FILE)
-    part = file
-    for key in way[:-1]:
-        part = part[key]
-    del part[way[-1]]
+    section = file
+    for key in path[:-1]:
+        section = section[key]
+    del section[path[-1]]
     return file
 
 
-def keys_of(part, way=()):
-    for key, value in part.items():
-        yield (*way, key)
+def key_paths(section, parents=()):
+    for key, value in section.items():
+        yield (*parents, key)
         if isinstance(value, dict):
-            yield from keys_of(value, (*way, key))
+            yield from key_paths(value, (*parents, key))
 
 
-WHOLE = json.dumps(FILE).encode()
+COMPLETE = json.dumps(FILE).encode()
 BROKEN = {
     "empty": b"",
     "blank": b"\n",
-    "no object": b"[]",
-    "no text": b"\xff\xfe\x00",
+    "not an object": b"[]",
+    "not text": b"\xff\xfe\x00",
     "a deadline of 0": changed(profiles__0__deadline=0),
     "a deadline below 0": changed(profiles__1__deadline=-5.0),
     "a deadline that is text": changed(profiles__0__deadline="5000"),
@@ -129,75 +129,75 @@
     "no name": changed(profiles__0__name=None),
     "two classes of one name": changed(profiles__0__name="assessment"),
     "no classes": changed(profiles=[]),
-    "classes that are none": changed(profiles={"lookup": 1}),
-    "a new class with a key less than the others": changed(profiles__1={"name": "new", "aim": 1.0}),
+    "classes that are not a list": changed(profiles={"lookup": 1}),
+    "a new class without keys that the others have": changed(profiles__1={"name": "new", "aim": 1.0}),
 }
 
 
 @pytest.mark.parametrize("content", BROKEN.values(), ids=BROKEN.keys())
 def test_a_broken_file_changes_nothing(rig, content):
     before = rig.reload.running
-    rig.take(content)
+    rig.reload_with(content)
     assert rig.counters["load_errors"] == 1 and rig.counters["loads"] == 0
-    assert rig.reload.running is before and not rig.swapped and not rig.moved and not rig.wheel.later
+    assert rig.reload.running is before and not rig.swapped and not rig.moved and not rig.wheel.timers
 
 
-def test_a_file_cut_off_anywhere_changes_nothing(rig):
-    cuts = range(0, len(WHOLE), 7)
-    for length in cuts:
-        rig.take(WHOLE[:length])
-    assert rig.counters["load_errors"] == len(cuts) and not rig.swapped
+def test_a_truncated_file_changes_nothing(rig):
+    lengths = range(0, len(COMPLETE), 7)
+    for length in lengths:
+        rig.reload_with(COMPLETE[:length])
+    assert rig.counters["load_errors"] == len(lengths) and not rig.swapped
 
 
-@pytest.mark.parametrize("way", list(keys_of(FILE)), ids=".".join)
-def test_a_file_without_a_key_that_is_in_force_changes_nothing_and_names_it(rig, way, caplog):
-    rig.take(without(*way))
+@pytest.mark.parametrize("path", list(key_paths(FILE)), ids=".".join)
+def test_a_file_without_a_key_of_the_running_file_changes_nothing_and_logs_the_key(rig, path, caplog):
+    rig.reload_with(without(*path))
     assert rig.counters["load_errors"] == 1 and not rig.swapped
-    said = str([r.fields for r in caplog.records]).lower()
-    assert {"profiles": "classes"}.get(way[-1], way[-1]).lower() in said
+    logged = str([r.fields for r in caplog.records]).lower()
+    assert {"profiles": "classes"}.get(path[-1], path[-1]).lower() in logged
 
 
-def test_the_same_file_is_a_load_and_changes_nothing(rig):
+def test_the_same_file_counts_as_a_load_and_changes_nothing(rig):
     before = rig.reload.in_force
-    rig.take(FILE)
-    rig.wheel.pass_time()
+    rig.reload_with(FILE)
+    rig.wheel.fire_timers()
     assert rig.counters["loads"] == 1 and not rig.moved
     assert all(settings == before for _, settings in rig.swapped)
 
 
-def test_a_change_holds_with_the_stricter_rules_first_and_then_alone(rig):
+def test_a_change_applies_with_the_stricter_rules_first_and_then_alone(rig):
     fresh = {"name": "fresh", "aim": 10.0, "deadline": 700.0, "effect": "retryable"}
-    rig.take(changed(profiles__0=fresh, limits__tryLimit=5))
+    rig.reload_with(changed(profiles__0=fresh, limits__tryLimit=5))
     config_now, meanwhile = rig.swapped[-1]
     assert {c.name for c in meanwhile.classes} == {"lookup", "assessment", "fresh"}
     assert meanwhile.max_attempts == 3
-    assert rig.wheel.later[-1].delay_ms == FOLLOW_MS > 1200
-    rig.wheel.pass_time()
+    assert rig.wheel.timers[-1].delay_ms == FOLLOW_MS > 1200
+    rig.wheel.fire_timers()
     _, after = rig.swapped[-1]
     assert {c.name for c in after.classes} == {"assessment", "fresh"} and after.max_attempts == 5
     assert after is config_now.settings is rig.reload.in_force
 
 
-def test_two_changes_in_quick_succession_hold_to_all_three(rig):
-    rig.take(changed(profiles__0__effect="fragile", limits__tryLimit=2))
-    rig.take(changed(profiles__0__name="other", limits__tryLimit=4))
+def test_two_changes_in_quick_succession_keep_the_rules_of_all_three_settings(rig):
+    rig.reload_with(changed(profiles__0__effect="fragile", limits__tryLimit=2))
+    rig.reload_with(changed(profiles__0__name="other", limits__tryLimit=4))
     _, meanwhile = rig.swapped[-1]
     assert {c.name for c in meanwhile.classes} == {"lookup", "assessment", "other"}
     assert meanwhile.max_attempts == 2
     assert next(c for c in meanwhile.classes if c.name == "lookup").effect is Effect.UNSAFE
-    rig.wheel.pass_time()
+    rig.wheel.fire_timers()
     _, after = rig.swapped[-1]
     assert {c.name for c in after.classes} == {"other", "assessment"} and after.max_attempts == 4
 
 
-def test_a_broken_file_amid_a_change_leaves_the_change(rig):
-    rig.take(changed(limits__tryLimit=2))
-    rig.take(b"")
-    rig.wheel.pass_time()
+def test_a_broken_file_during_a_change_does_not_affect_the_change(rig):
+    rig.reload_with(changed(limits__tryLimit=2))
+    rig.reload_with(b"")
+    rig.wheel.fire_timers()
     assert rig.swapped[-1][1].max_attempts == 2
-    rig.take(changed(discovery="automatic"))
+    rig.reload_with(changed(discovery="automatic"))
     assert not rig.moved
-    rig.take(FILE | {"discovery": "127.0.0.1:9"})
+    rig.reload_with(FILE | {"discovery": "127.0.0.1:9"})
     assert rig.moved == [("127.0.0.1", 9)]
 
 
@@ -213,7 +213,7 @@
 
 
 @given(settings, settings)
-def test_what_holds_between_two_settings_allows_no_more_than_either(old, new):
+def test_the_settings_during_a_change_allow_no_more_than_either_side(old, new):
     both = between(old, new)
     named = {c.name: c for c in both.classes}
     assert set(named) == {c.name for c in (*old.classes, *new.classes)}
@@ -228,20 +228,22 @@
     assert between(old, old) == old
 
 
-parts = st.recursive(st.integers(), lambda some: st.dictionaries(st.sampled_from("abcd"), some), max_leaves=9)
+sections = st.recursive(
+    st.integers(), lambda inner: st.dictionaries(st.sampled_from("abcd"), inner), max_leaves=9
+)
 
 
-@given(parts)
-def test_a_file_is_whole_with_itself_and_with_more(part):
-    check_whole({"x": part}, {"x": part, "more": 1})
+@given(sections)
+def test_a_file_is_complete_with_the_same_and_with_additional_keys(section):
+    check_whole({"x": section}, {"x": section, "more": 1})
     with pytest.raises(config.ConfigError, match="x: is missing"):
-        check_whole({"x": part}, {"more": 1})
+        check_whole({"x": section}, {"more": 1})
 
 
-# -- The module ----------------------------------------------------------------------------------
+# -- The decision module --------------------------------------------------------------------------
 
 
-def retune(d, now=10.0, **changes):
+def change_settings(d, now=10.0, **changes):
     given = {f: getattr(d.s, f) for f in d.s.__dataclass_fields__} | changes
     return d.handle(now, io.Retuned(Settings(**given)))
 
@@ -252,46 +254,46 @@
     assert of(submit(d, 1, "safe"), io.Send)
     safe, *others = CLASSES
     unsafe = JobClass("safe", safe.aim_ms, safe.deadline_ms, safe.aim_stretch, effect=Effect.UNSAFE)
-    retune(d, classes=(unsafe, *others), max_attempts=4)
+    change_settings(d, classes=(unsafe, *others), max_attempts=4)
     assert of(submit(d, 2, "safe", now=11.0), io.Send)
-    # taken as harmless: tried again, twice in all
+    # Accepted as harmless: tried again, twice in total.
     assert of(end(d, 1, Outcome.RESET, 20.0), io.Send)
     assert of(end(d, 1, Outcome.RESET, 30.0, attempt=1), io.Refuse)
-    # taken after the change: it may have run, so it is neither tried again nor refused
+    # Accepted after the change: it may have run, so it is neither tried again nor refused.
     assert of(end(d, 2, Outcome.RESET, 40.0), io.Fail)
 
 
-def test_a_dropped_class_ends_its_open_jobs_by_its_own_rules():
+def test_open_jobs_of_a_removed_class_end_by_its_rules():
     d = make()
     news(d, entry("w1"))
     submit(d, 1, "safe")
-    retune(d, classes=CLASSES[1:])
+    change_settings(d, classes=CLASSES[1:])
     assert of(end(d, 1, Outcome.RESET, 20.0), io.Send)
     assert of(end(d, 1, Outcome.OK, 30.0, attempt=1), io.Fail) == [] and not d.jobs
     with pytest.raises(ValueError, match="safe"):
         submit(d, 2, "safe", now=40.0)
 
 
-def test_what_was_learnt_of_classes_and_workers_stays():
+def test_learned_values_of_classes_and_workers_survive_a_change():
     d = make()
     news(d, entry("w1"))
     for n in range(1, 20):
         submit(d, n, "safe", now=10.0 * n)
         end(d, n, Outcome.OK, 10.0 * n + 5)
     state, pace = d.classes["safe"], d.workers["w1"].pace
-    retune(d, 500.0)
+    change_settings(d, 500.0)
     assert d.classes["safe"] is state  # the same settings change nothing
     safe, *others = CLASSES
     new = JobClass("safe", 100, safe.deadline_ms, effect=Effect.UNSAFE)
     added = JobClass("added", 100, 3000)
-    retune(d, 500.0, classes=(new, added, *others))
+    change_settings(d, 500.0, classes=(new, added, *others))
     assert d.classes["safe"].median == state.median and d.classes["safe"].cls is new
     assert d.workers["w1"].pace == pace and d.classes["added"].cls is added
     assert of(submit(d, 50, "added", now=510.0), io.Send)
 
 
-def test_the_retune_reaches_all_parts_in_one_step():
-    """The whole scheduler takes a new file while a stream is open."""
+def test_new_settings_reach_all_parts_in_one_step():
+    """A complete scheduler gets new settings while a stream is open."""
     play(
         """
         a send lookup r1
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,6 +1,6 @@
-"""Every way in which something ends, forced over loopback sockets at the instant in which something is owed.
+"""The ways in which clients, attempts, connections and watches end, each forced at a critical moment.
 
-`docs/design/endings.md` has the table that these tests belong to.
+The tests use loopback sockets.  They belong to the table in `docs/design/endings.md`.
 """
 
 import contextlib
@@ -22,12 +22,12 @@
 NO_CANCEL = settings_with(limits={"dialTimeout": 5000.0, "cancelling": False})
 
 
-# -- Clients that leave ---------------------------------------------------------------------------
+# -- Clients that disconnect ----------------------------------------------------------------------
 
 
 @on_loopback
-async def test_a_client_that_left_before_it_was_read_is_not_sent_on(site):
-    """Its request and its close stand in the listener's queue together, and a kept connection is free."""
+async def test_a_request_is_not_forwarded_if_its_client_disconnected_before_it_was_read(site):
+    """Request and close are in the listener's queue together, and an idle connection to a worker is free."""
     a = await site.client()
     await a.send(request("r0"))
     worker = await site.workers[0].accept()
@@ -45,14 +45,14 @@
 
 @pytest.mark.parametrize("leave", ["close", "reset", "half_close"])
 @pytest.mark.parametrize("ahead", [0, 10_000, 200_000, 600_000])
-def test_a_client_is_seen_to_leave_behind_all_that_it_sent(leave, ahead):
+def test_a_disconnect_is_noticed_behind_pipelined_data(leave, ahead):
     @on_loopback(workers=2)
     async def play(site):
         a = await site.client()
         await a.send(request("r1"))
         one = await site.workers[0].accept() if await_first(site) == 0 else await site.workers[1].accept()
         await one.read(b"hi")
-        # whole requests, so that nothing of it is wrong by itself
+        # Complete requests, so that none of them is rejected for itself.
         more = b"".join(request(f"r{i + 2}") for i in range(ahead // len(request("r2"))))
         await a.send(more)
         getattr(a, leave)()
@@ -66,13 +66,13 @@
 
 
 def await_first(site):
-    """Which worker the first attempt goes to: seed and settings are fixed, so it is always the same."""
+    """The index of the worker of the first attempt, always the same since seed and settings are fixed."""
     (host,) = [h for h in site.scheduler.upstream.hosts.values() if h.open]
     return int(host.uid[1:]) - 1
 
 
 def hold_dials(site):
-    """Connections to workers come up only once the event that is returned is set."""
+    """Delay connections to workers until the returned event is set."""
     gate, dial = trio.Event(), site.scheduler.upstream.dial
 
     async def held(address):
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize("wire", [SLOW_DIAL, NO_CANCEL], ids=["cancelling", "no cancelling"])
-def test_nothing_is_sent_once_the_client_left_while_its_attempt_waited_for_a_connection(wire):
+def test_nothing_is_sent_if_the_client_disconnects_during_the_connect(wire):
     @on_loopback(wire=wire)
     async def play(site):
         gate = hold_dials(site)
@@ -97,13 +97,13 @@
         assert site.counters["sent.requests"] == 1
         assert site.counters["upstream_tries"] == 0
         if await site.workers[0].called():
-            pytest.fail("a connection was made for nobody")
+            pytest.fail("a connection was made for a client that had disconnected")
 
     play()
 
 
 @on_loopback
-async def test_a_client_that_floods_is_told_so_and_its_memory_is_bounded(site):
+async def test_a_client_that_sends_too_much_is_rejected_and_its_memory_is_bounded(site):
     a = await site.client()
     await a.send(request("r1"))
     worker = await site.workers[0].accept()
@@ -123,8 +123,8 @@
 
 
 @on_loopback(workers=2, wire=SLOW_DIAL)
-async def test_a_worker_is_told_the_time_that_is_left_as_the_request_is_written(site):
-    """Its connection comes up 1.2 s after the attempt was decided."""
+async def test_a_worker_gets_the_time_that_is_left_when_the_request_is_written(site):
+    """The connect completes 1.2 s after the attempt was decided."""
     gate = hold_dials(site)
     a = await site.client()
     await a.send(request("r1", left=3000))
@@ -132,13 +132,13 @@
     gate.set()
     worker = await site.workers[await_first(site)].accept()
     head = await worker.read(b"\r\n\r\n")
-    told = int(head.lower().partition(b"x-timeout-ms:")[2].split()[0])
-    assert 1750 <= told <= 1800
+    timeout_ms = int(head.lower().partition(b"x-timeout-ms:")[2].split()[0])
+    assert 1750 <= timeout_ms <= 1800
 
 
 @on_loopback
-async def test_a_request_sent_ahead_has_the_time_left_that_it_had_when_it_came(site):
-    """Its time counts from its last byte, not from the answer before it, which it waits for."""
+async def test_the_timeout_of_a_pipelined_request_runs_from_its_arrival(site):
+    """It runs from the request's last byte, not from the response to the request before it."""
     a = await site.client()
     await a.send(request("r1") + request("r2")[:-1])
     worker = await site.workers[0].accept()
@@ -152,26 +152,26 @@
     assert b"r2" in head and 4100 < int(head.lower().partition(b"x-timeout-ms:")[2].split()[0]) <= 4200
     await worker.send(done("r2"))
     await a.read(b"made of r2")
-    assert b" 503 " in await a.read(b"\r\n\r\n")  # its time was up before it could be looked at
+    assert b" 503 " in await a.read(b"\r\n\r\n")  # its timeout ended before it was read
     assert await worker.quiet()
 
 
-def test_what_is_noted_of_bytes_that_drip_is_bounded_and_true_to_10_ms():
+def test_arrival_times_of_single_bytes_are_bounded_in_number_and_accurate_to_10_ms():
     client, whole = downstream.ClientConnection(None, 0.0), request("r1")
     client.receive(whole, 0.0)
     assert type(client.http.next_event()) is h11.Request
-    for n in range(5000):  # sent ahead, a byte each 0.2 ms
+    for n in range(5000):  # pipelined, one byte every 0.2 ms
         client.receive(b"x", 50.0 + n / 5)
     assert len(client._arrivals) <= 102
     while type(client.http.next_event()) is not h11.EndOfMessage:
         pass
     assert client.request_arrived_at() == 0.0
-    assert client._arrivals[-1][1] > 1030.0  # the last that came are not taken for the first
+    assert client._arrivals[-1][1] > 1030.0  # late bytes do not get the time of the first ones
 
 
 @on_loopback(wire=SLOW_DIAL)
-async def test_nothing_is_written_once_the_time_is_up(site):
-    """Less than the millisecond that could be told is left, and the timer of the attempt is not due yet."""
+async def test_nothing_is_written_once_the_timeout_has_passed(site):
+    """Less than 1 ms, the least that the header can express, is left, but the attempt's timer is not due."""
     gate = hold_dials(site)
     a = await site.client()
     await a.send(request("r1", left=500))
@@ -184,19 +184,19 @@
 
 
 @on_loopback
-async def test_an_attempt_is_closed_before_its_outcome_is_told(site):
-    """What is told may be answered by another attempt at once, and two must never be out."""
+async def test_an_attempt_is_closed_before_its_outcome_is_reported(site):
+    """The module may start another attempt at once, and two must never be in flight."""
     a = await site.client()
     await a.send(request("r1", left=500))
     worker = await site.workers[0].accept()
     await worker.read(b"\r\n\r\nhi")
     host, seen = site.scheduler.host, []
-    tell = host.ended
+    report = host.ended
 
     def ended(*given):
         with contextlib.suppress(BlockingIOError):
             seen.append(worker.sock._sock.recv(1, socket.MSG_PEEK))
-        tell(*given)
+        report(*given)
 
     host.ended = ended
     await site.pass_ms(600)
@@ -207,8 +207,8 @@
 
 @pytest.mark.parametrize("late", [False, True], ids=["in time", "late"])
 @pytest.mark.parametrize("group", ["zone", "all"])
-def test_a_keyed_job_is_not_written_again_once_the_workers_have_forgotten_it(group, late):
-    """Its second attempt is decided within the window, and its connection comes up within it or after it."""
+def test_a_keyed_job_is_not_written_again_after_its_key_has_expired_at_the_workers(group, late):
+    """Its second attempt is decided in time, and its connect completes before or after the key expires."""
     keyed = {"effect": "dedup", "group": group, "keyTtl": 1500.0}
     wire = settings_with(profiles=profiles_with(assessment=keyed), limits={"dialTimeout": 1000.0})
 
@@ -227,7 +227,7 @@
         gate.set()
         second = await site.workers[1 - at].accept()
         if late:
-            # to come again is harmless where all workers know the key
+            # A retry by the client is harmless if all workers know the key.
             assert (b" 503 " if group == "all" else b" 502 ") in await a.read(b"\r\n\r\n")
             assert await second.read_to_end() == b""
             assert site.counters["sent.too_late"] == 1
@@ -240,9 +240,9 @@
 
 
 @pytest.mark.parametrize("status", [b"500 No", b"503 No\r\nX-Not-Processed: 1"], ids=["error", "refusal"])
-def test_a_second_answer_that_names_no_request_is_not_taken_for_the_next_ones(status):
-    """It comes when the connection could have been used again: the next attempt must not be on it."""
-    answer = b"HTTP/1.1 " + status + b"\r\nContent-Length: 0\r\n\r\n"
+def test_a_duplicate_response_that_names_no_request_is_not_read_as_the_next_response(status):
+    """It arrives when the connection could have been reused: the next attempt must not use it."""
+    response = b"HTTP/1.1 " + status + b"\r\nContent-Length: 0\r\n\r\n"
     short = {"aim": 100.0}  # so that a refused attempt is soon tried again
     quick = settings_with(profiles=profiles_with(lookup=short, assessment=short))
 
@@ -252,15 +252,15 @@
         await a.send(request("r1"))
         first = await site.workers[0].accept()
         await first.read(b"\r\n\r\nhi")
-        await first.send(answer)
+        await first.send(response)
         await site.pass_ms(40)
         second = await site.workers[0].accept()
         await second.read(b"\r\n\r\nhi")
-        await first.send(answer)
+        await first.send(response)
         await second.send(done("r1"))
         await a.read(b"made of r1")
         assert site.counters["sent.requests"] == 2
-        # after its rest it is seen to have said too much, and closed
+        # After the reuse delay its unexpected data is noticed, and it is closed.
         await site.pass_ms(100)
         await a.send(request("r2"))
         await second.read(b"\r\n\r\nhi")
@@ -269,7 +269,7 @@
 
 
 @on_loopback(workers=1)
-async def test_a_connection_that_was_refused_on_is_used_again_once_it_has_rested(site):
+async def test_a_connection_that_carried_a_refusal_is_reused_after_the_reuse_delay(site):
     a = await site.client()
     await a.send(request("r1"))
     worker = await site.workers[0].accept()
@@ -286,13 +286,16 @@
 ENDLESS = {
     "a line": (HEAD, chunk(b"x" * 60_000)),
     "a head": (b"HTTP/1.1 200 OK\r\nX-A: ", b"y" * 60_000),
-    "words before it": (b"", b"HTTP/1.1 102 Wait\r\n\r\n" * 2000),
-    "what follows it": (HEAD + chunk(b'{"id":"r1","state":"done","result":"it"}\n'), chunk(b"z" * 60_000)),
+    "informational responses": (b"", b"HTTP/1.1 102 Wait\r\n\r\n" * 2000),
+    "data after the last line": (
+        HEAD + chunk(b'{"id":"r1","state":"done","result":"it"}\n'),
+        chunk(b"z" * 60_000),
+    ),
 }
 
 
 @pytest.mark.parametrize("form", ENDLESS)
-def test_an_answer_without_end_is_closed_and_costs_bounded_memory_and_time(form):
+def test_an_endless_response_is_closed_with_bounded_memory_and_time(form):
     @on_loopback(wire=settings_with(limits={"tryLimit": 1}))
     async def play(site):
         a = await site.client()
@@ -310,7 +313,7 @@
         with pytest.raises(trio.BrokenResourceError):
             for _ in range(8):
                 await worker.send(more)
-        status = b" 200 " if form == "what follows it" else b" 503 "
+        status = b" 200 " if form == "data after the last line" else b" 503 "
         assert status in await a.read(b"\r\n")
         assert site.scheduler.upstream.connection_count == 0
 
@@ -319,7 +322,7 @@
 
 @on_loopback(wire=settings_with(limits={"tryLimit": 1}))
 async def test_a_job_that_is_done_without_a_result_is_not_served(site):
-    """Guards against an answer that no worker has made; it may have run all the same."""
+    """The client would get a result that no worker has produced.  The job may have run."""
     a = await site.client()
     await a.send(request("r1"))
     worker = await site.workers[0].accept()
@@ -329,11 +332,11 @@
     assert site.counters["sent.reset"] == 1 and not await worker.quiet()
 
 
-# -- The end of a connection ----------------------------------------------------------------------
+# -- Closing connections --------------------------------------------------------------------------
 
 
 async def serve_one(site, client, name, worker=None):
-    """One job through and through; the worker's connection."""
+    """Send a job and serve it; return the worker's connection."""
     await client.send(request(name))
     worker = worker or await site.workers[0].accept()
     await worker.read(b"\r\n\r\nhi")
@@ -343,8 +346,8 @@
 
 
 @on_loopback
-async def test_bytes_that_cross_the_last_answer_do_not_reset_it(site):
-    """They come after all was read and before the close, which would turn them into a reset."""
+async def test_bytes_that_arrive_during_the_last_response_do_not_reset_it(site):
+    """They arrive after the last read and before the close; a plain close would then send a reset."""
     a = await site.client()
     respond = site.scheduler.downstream._respond
 
@@ -363,7 +366,7 @@
 
 
 @on_loopback
-async def test_an_idle_connection_is_shut_before_it_is_closed_and_what_crosses_that_is_not_served(site):
+async def test_an_idle_connection_is_shut_down_before_its_close_and_a_request_meanwhile_is_not_served(site):
     a = await site.client()
     worker = await serve_one(site, a, "r1")
     site.scheduler.service.tell(Told.STOP)
@@ -378,7 +381,7 @@
 
 
 @on_loopback
-async def test_what_was_read_before_the_last_answer_of_a_drain_is_answered_too(site):
+async def test_requests_read_before_the_last_response_of_a_drain_are_served(site):
     site.scheduler.service.tell(Told.STOP)
     await site.pass_ms(2400)
     a = await site.client()
@@ -392,7 +395,7 @@
     await worker.read(b"\r\n\r\nhi")
     await worker.send(done("r2"))
     await a.read(b"made of r2")
-    await site.pass_ms(850)  # the third never comes whole
+    await site.pass_ms(850)  # the third request never completes
     assert b" 503 " in await a.read_to_end()
     a.close()
     await site.ended.wait()
@@ -400,22 +403,22 @@
 
 
 @on_loopback
-async def test_what_begins_after_the_end_is_refused_at_once(site):
+async def test_requests_after_the_end_of_a_stop_are_refused_at_once(site):
     a = await site.client()
     await a.send(request("r1") + request("r2"))
     worker = await site.workers[0].accept()
     await worker.read(b"\r\n\r\nhi")
     site.scheduler.service.tell(Told.STOP)
     await site.pass_ms(3450)
-    answers = await a.read_to_end()
-    assert answers.count(b"HTTP/1.1 502 ") == 1 and answers.count(b"HTTP/1.1 503 ") == 1
+    responses = await a.read_to_end()
+    assert responses.count(b"HTTP/1.1 502 ") == 1 and responses.count(b"HTTP/1.1 503 ") == 1
     a.close()
     await site.ended.wait()
     assert site.counters["sent.requests"] == 1
 
 
 @on_loopback
-async def test_who_connected_just_before_the_listener_closed_is_served(site):
+async def test_a_client_that_connects_just_before_the_listener_closes_is_served(site):
     site.scheduler.service.tell(Told.STOP)
     await site.pass_ms(2450)
     with socket.create_connection(site.address) as late:
@@ -431,12 +434,12 @@
 
 
 @on_loopback
-async def test_small_answers_are_not_held_back_on_either_side(site):
+async def test_small_messages_are_sent_without_delay_on_both_sides(site):
     a = await site.client()
     await serve_one(site, a, "r1")
-    (link,) = site.scheduler.downstream.connections
+    (client,) = site.scheduler.downstream.connections
     (host,) = site.scheduler.upstream.hosts.values()
-    for stream in (link.stream, host.idle[0].stream):
+    for stream in (client.stream, host.idle[0].stream):
         assert stream.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
 
@@ -446,29 +449,29 @@
 FLEET = settings_with(balancers=200)
 
 
-def leaving(site, index=0, rev=2, all=False):
+def draining(site, index=0, rev=2, all=False):
     return listing(rev, site.entry(index, state="leaving"), all=all)
 
 
-def life(site, uid="w1"):
+def lifecycle(site, uid="w1"):
     return site.scheduler.cluster.lifecycle(uid)
 
 
 @pytest.mark.parametrize("wire", [PUSHED, settings_with()], ids=["pushed", "asked for"])
-def test_a_list_is_followed_from_the_start_whether_pushed_or_asked_for(wire):
+def test_the_watch_runs_from_the_start_for_pushed_and_requested_lists(wire):
     @on_loopback(wire=wire)
     async def play(site):
         await site.pass_ms(40)
-        await site.watched(leaving(site))
-        assert life(site) is Lifecycle.DRAINING
+        await site.watched(draining(site))
+        assert lifecycle(site) is Lifecycle.DRAINING
 
     play()
 
 
 @pytest.mark.parametrize("wire", [PUSHED, settings_with(), FLEET], ids=["pushed", "asked for", "200"])
 @pytest.mark.parametrize("last", [b"\n", b'{"rev":2,"all":false,"targ', b""], ids=["line", "half", "none"])
-def test_what_a_silent_watch_misses_is_known_within_6_s(wire, last):
-    """A half line that stays half is silence too."""
+def test_updates_missed_by_a_silent_watch_are_known_within_6_s(wire, last):
+    """A line that never completes counts as silence too."""
 
     @on_loopback(wire=wire)
     async def play(site):
@@ -476,49 +479,49 @@
         watch = await site.watched(b"")
         if last:
             await watch.send(chunk(last))
-        if last.startswith(b"{"):  # it goes on by drips that never become a line
+        if last.startswith(b"{"):  # more data arrives, but the line never completes
             await site.pass_ms(1500)
             await watch.send(chunk(b'ets":['))
             await site.pass_ms(1500)
         else:
             await site.pass_ms(3000)
-        await site.pass_ms(1100)  # at most, until it asks; then the call may take its time
-        await site.watched(leaving(site))
-        assert life(site) is Lifecycle.DRAINING
+        await site.pass_ms(1100)  # the longest delay before the next call
+        await site.watched(draining(site))
+        assert lifecycle(site) is Lifecycle.DRAINING
 
     play()
 
 
 @pytest.mark.parametrize("wire", [PUSHED, settings_with(), FLEET], ids=["pushed", "asked for", "200"])
-def test_discovery_that_returns_is_asked_twice_within_6_s(wire):
-    """Whatever a failed call allowed: the first call after its return may fail as well."""
+def test_discovery_is_called_twice_within_6_s_after_it_recovers(wire):
+    """The first call after the recovery may fail too."""
 
     @on_loopback(wire=wire)
     async def play(site):
         await site.pass_ms(1000)
-        for _ in range(12):  # it is up and refuses, so that the waits have grown as long as they may
+        for _ in range(12):  # discovery refuses calls, so that the delays grow to their maximum
             call = await site.discovery.accept()
             await call.read(b"\r\n\r\n")
             await call.send(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
             call.close()
             await site.pass_ms(1500)
         since = site.clock.current_time()
-        for _ in range(2):  # a call that is not answered, then one that is
+        for _ in range(2):  # one call without a response, then one with a response
             call = await site.discovery.accept()
             await call.read(b"\r\n\r\n")
             if site.clock.current_time() > since:
                 break
             await site.pass_ms(1500 + 1500)
         await call.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        await call.send(chunk(leaving(site) + b"\n"))
-        assert life(site) is Lifecycle.DRAINING
+        await call.send(chunk(draining(site) + b"\n"))
+        assert lifecycle(site) is Lifecycle.DRAINING
         assert site.clock.current_time() - since < 6
 
     play()
 
 
 @pytest.mark.parametrize("wire", [PUSHED, settings_with()], ids=["pushed", "asked for"])
-def test_a_discovery_that_answers_and_hangs_up_is_not_asked_as_fast_as_it_does_so(wire):
+def test_calls_are_delayed_if_discovery_responds_and_closes_at_once(wire):
     @on_loopback(wire=wire)
     async def play(site):
         for _ in range(40):
@@ -533,19 +536,19 @@
 
 @pytest.mark.parametrize("pieces", ["whole", "bytes"])
 @pytest.mark.parametrize("indent", [None, 2])
-def test_lists_come_in_every_form(indent, pieces):
+def test_lists_are_read_in_any_layout_and_chunking(indent, pieces):
     @on_loopback
     async def play(site):
         await site.pass_ms(20)
         watch = await site.watched()
-        told = {"rev": 2, "all": True, "targets": [site.entry(0, state="leaving", note='{"[\\"')]}
-        text = json.dumps(told, indent=indent).encode() + b"\n"
+        value = {"rev": 2, "all": True, "targets": [site.entry(0, state="leaving", note='{"[\\"')]}
+        text = json.dumps(value, indent=indent).encode() + b"\n"
         for piece in [text] if pieces == "whole" else [text[i : i + 1] for i in range(len(text))]:
             await trio.SocketStream(watch.sock).send_all(chunk(piece))
         await settle()
-        assert life(site) is Lifecycle.DRAINING
-        await watch.send(chunk(b"\n") + chunk(listing(3, site.entry(0))))  # without an end of line as yet
-        assert life(site) is Lifecycle.IN_SERVICE
+        assert lifecycle(site) is Lifecycle.DRAINING
+        await watch.send(chunk(b"\n") + chunk(listing(3, site.entry(0))))  # without a line end
+        assert lifecycle(site) is Lifecycle.IN_SERVICE
         assert site.counters["cluster.errors"] == 0
 
     play()
@@ -556,37 +559,37 @@
 
 @pytest.mark.parametrize("faulty", FAULTY, ids=str)
 @pytest.mark.parametrize("all", [True, False])
-def test_a_faulty_entry_hides_no_drain_and_loses_no_worker(faulty, all):
+def test_a_faulty_entry_does_not_hide_a_drain_or_remove_a_worker(faulty, all):
     @on_loopback(workers=2)
     async def play(site):
         await site.pass_ms(20)
         await site.watched(listing(2, site.entry(0, state="leaving"), faulty, all=all))
-        assert life(site, "w1") is Lifecycle.DRAINING
-        assert life(site, "w2") is Lifecycle.IN_SERVICE
+        assert lifecycle(site, "w1") is Lifecycle.DRAINING
+        assert lifecycle(site, "w2") is Lifecycle.IN_SERVICE
         assert site.counters["cluster.faulty_entries"] == 1
         assert site.counters["cluster.errors"] == 0
 
     play()
 
 
-@pytest.mark.parametrize("told", [b"{]}", b"x", b'{"rev":"2","all":true,"targets":[]}', b"[" * (1 << 21)])
-def test_a_list_that_makes_no_sense_is_asked_for_again_whole(told):
+@pytest.mark.parametrize("text", [b"{]}", b"x", b'{"rev":"2","all":true,"targets":[]}', b"[" * (1 << 21)])
+def test_after_a_malformed_update_the_full_list_is_requested(text):
     @on_loopback
     async def play(site):
         await site.pass_ms(20)
         first = await site.watched()
         with contextlib.suppress(trio.BrokenResourceError):
-            await first.send(chunk(told + b"\n"))
-        assert life(site) is Lifecycle.IN_SERVICE
+            await first.send(chunk(text + b"\n"))
+        assert lifecycle(site) is Lifecycle.IN_SERVICE
         await site.pass_ms(100)
-        await site.watched(leaving(site, all=True))
-        assert b"watch=1 " in site.asked
-        assert life(site) is Lifecycle.DRAINING
+        await site.watched(draining(site, all=True))
+        assert b"watch=1 " in site.watch_request
+        assert lifecycle(site) is Lifecycle.DRAINING
 
     play()
 
 
-# -- Other settings while a request is under way --------------------------------------------------
+# -- New settings while a request is in flight ----------------------------------------------------
 
 UNSAFE, SAFE = {"effect": "fragile"}, {"effect": "retryable"}
 KEYED = {"effect": "dedup", "group": "all", "keyTtl": 9000.0}
@@ -594,7 +597,7 @@
 
 @pytest.mark.parametrize("reloads", [1, 2])
 @pytest.mark.parametrize(
-    ("taken", "then", "again"),
+    ("accepted", "then", "again"),
     [
         (SAFE, UNSAFE, True),
         (UNSAFE, SAFE, False),
@@ -607,10 +610,10 @@
     ],
     ids=str,
 )
-def test_a_request_keeps_the_class_it_was_taken_with(tmp_path, taken, then, again, reloads):
-    """Its worker breaks the connection under it: whether it may go again is its own class's to say."""
+def test_a_request_keeps_the_class_it_was_accepted_with(tmp_path, accepted, then, again, reloads):
+    """Its worker breaks the connection.  Whether it may be sent again depends on the class at its arrival."""
 
-    @on_loopback(workers=2, wire=settings_with(profiles=profiles_with(lookup=taken)))
+    @on_loopback(workers=2, wire=settings_with(profiles=profiles_with(lookup=accepted)))
     async def play(site):
         a = await site.client()
         await a.send(request("r1"))
@@ -618,8 +621,8 @@
         await first.read(b"\r\n\r\nhi")
         await site.reload(tmp_path / "file", profiles=profiles_with(lookup=then))
         if reloads == 2:
-            # the class comes back under the same name, then goes or changes once more
-            await site.reload(tmp_path / "file", profiles=profiles_with(lookup={"aim": 1.0} | taken))
+            # The class is added again under the same name, then removed or changed once more.
+            await site.reload(tmp_path / "file", profiles=profiles_with(lookup={"aim": 1.0} | accepted))
             await site.pass_ms(100)
             await site.reload(tmp_path / "file", profiles=profiles_with(lookup=then))
         await site.pass_ms(1600)
@@ -631,8 +634,8 @@
             await second.send(done("r1"))
             await a.read(b"made of r1")
         else:
-            # a repeat is harmless where all workers know the key, so that one may be told to come again
-            status = b" 503 " if taken["effect"] == "dedup" else b" 502 "
+            # A retry is harmless if all workers know the key, so the client may be told to try again.
+            status = b" 503 " if accepted["effect"] == "dedup" else b" 502 "
             assert status in await a.read(b"\r\n")
             assert not await site.workers[1 - at].called()
         assert site.counters["loads"] == (3 if reloads == 2 else 1)
@@ -641,7 +644,7 @@
 
 
 @on_loopback(workers=2, wire=settings_with(profiles=profiles_with()))
-async def test_a_request_keeps_its_attempts_its_deadline_and_its_tenants_rules(site):
+async def test_a_request_keeps_its_attempts_its_deadline_and_its_tenant_rules(site):
     a = await site.client()
     await a.send(request("r1"))
     first = await site.workers[at := await_first(site)].accept()
@@ -657,14 +660,14 @@
     assert int(head.lower().partition(b"x-timeout-ms:")[2].split()[0]) > 2900
     await second.send(done("r1"))
     await a.read(b"made of r1")
-    # one that is taken now goes by the new ones
+    # A request that is accepted now uses the new settings.
     await a.send(request("r2"))
     await site.pass_ms(850)
     assert b" 503 " in await a.read(b"\r\n")
 
 
 @on_loopback(workers=2, wire=settings_with(profiles=profiles_with()))
-async def test_a_reload_in_a_drain_changes_nothing_in_what_is_under_way(site):
+async def test_a_reload_during_a_stop_does_not_change_requests_in_flight(site):
     a = await site.client()
     await a.send(request("r1"))
     first = await site.workers[at := await_first(site)].accept()
