--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import pytest
-from far_registry import a_registry
+from far_registry import registry_thread
 from test_program import GOOD, free_address, running
 
 from molespur.cli.ops import changes
@@ -29,7 +29,7 @@
 
 @pytest.mark.parametrize("kind", ["etcd", "consul"])
 def test_a_registry_by_hand(kind, tmp_path):
-    with a_registry() as place:
+    with registry_thread() as place:
         given = {"MOLESPUR_CLUSTER_SOURCE": kind, "MOLESPUR_REGISTRY_ENDPOINTS": f"127.0.0.1:1,{place}"}
 
         def run(*words, code=0):
@@ -68,7 +68,7 @@
 
 @pytest.mark.parametrize("kind", ["etcd", "consul"])
 def test_a_worker_is_kept_registered_drained_and_leaves(kind):
-    with a_registry() as place:
+    with registry_thread() as place:
         given = {"MOLESPUR_CLUSTER_SOURCE": kind, "MOLESPUR_REGISTRY_ENDPOINTS": place}
 
         def states():
@@ -104,7 +104,7 @@
 
 
 def test_credentials():
-    with a_registry(user="op", password="secret") as place:
+    with registry_thread(user="op", password="secret") as place:
         given = {"MOLESPUR_REGISTRY_ENDPOINTS": place, "MOLESPUR_REGISTRY_USER": "op"}
         assert molespur("registry", "list", MOLESPUR_REGISTRY_PASSWORD="secret", **given)[0] == 0
         code, _, err = molespur("registry", "list", MOLESPUR_REGISTRY_PASSWORD="wrong", **given)
--- a/tests/far_registry.py
+++ b/tests/far_registry.py
@@ -9,7 +9,7 @@
 
 
 @contextlib.contextmanager
-def a_registry(**options):
+def registry_thread(**options):
     """Run a stand-in registry in its own thread; yields its address."""
     ready, addresses, control = threading.Event(), [], {}
 
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -10,7 +10,7 @@
 
 import msgspec
 import pytest
-from far_registry import a_registry
+from far_registry import registry_thread
 
 from molespur.fleet import wire
 from molespur.fleet.model import VERSION, Ack, News, Packet, Ping, State
@@ -229,7 +229,7 @@
 
 def test_members_find_each_other_through_the_registry(rig):
     """No seeds but the records that each member keeps in a (stand-in) registry."""
-    with a_registry() as address:
+    with registry_thread() as address:
         tables = {"registry": {"endpoints": [address]}, "registration": {"ttl_s": 5}}
         fleet = rig(3, faultline=False, fleet=dict(FAST, seeds_from_registry=True), seeds=(), tables=tables)
         fleet.start(0)
--- a/tests/standins/test_libraries.py
+++ b/tests/standins/test_libraries.py
@@ -5,12 +5,12 @@
 import consul
 import etcd3gw
 import pytest
-from far_registry import a_registry
+from far_registry import registry_thread
 
 
 @pytest.fixture
 def place():
-    with a_registry() as address:
+    with registry_thread() as address:
         host, port = address.split(":")
         yield host, int(port)
 
