--- a/molespur/net/cluster.py
+++ b/molespur/net/cluster.py
@@ -53,7 +53,9 @@
         """How many upstream hosts are listed, and how many of these get no work now."""
         avoided = self.host.dispatcher.avoided(self.clock.now())
         skipped = [
-            u for u, life in self.lifecycles.items() if u in avoided or life is not Lifecycle.IN_SERVICE
+            u
+            for u, lifecycle in self.lifecycles.items()
+            if u in avoided or lifecycle is not Lifecycle.IN_SERVICE
         ]
         return len(self.lifecycles), len(skipped)
 
--- a/molespur/net/counters.py
+++ b/molespur/net/counters.py
@@ -4,11 +4,8 @@
 
 import msgspec
 
-PASSED, DROPPED, BAD_GATEWAY = FINAL_RESPONSES = (
-    "passed",
-    "dropped",
-    "bad_gateway",
-)  # jobs by their final response
+# Counters of jobs by their final response.
+PASSED, DROPPED, BAD_GATEWAY = FINAL_RESPONSES = ("passed", "dropped", "bad_gateway")
 UPSTREAM_TRIES = "upstream_tries"  # completely written upstream requests
 LOADS, LOAD_ERRORS = "loads", "load_errors"  # reloads of the configuration that succeeded and failed
 
--- a/molespur/net/downstream.py
+++ b/molespur/net/downstream.py
@@ -18,7 +18,8 @@
 log = logs.get(__name__)
 MAX_PIPELINED_BYTES = 128 * 1024  # kept of what a client sends before its response; more is discarded
 MAX_READ_AHEAD_BYTES = 1 << 20  # sent by a client before its response, kept or not; more is an error
-FIRST_REQUEST_TIMEOUT_MS = 2_000.0  # from connecting until the first job has arrived completely
+# From connecting until the first job has arrived completely, so that silent connections are not kept.
+FIRST_REQUEST_TIMEOUT_MS = 2_000.0
 REQUEST_TIMEOUT_MS = 2_000.0  # from the first byte of a later job until it has arrived completely
 WRITE_TIMEOUT_MS = 2_000.0  # for a client to receive its response
 # While connections close, an idle one stays open for this long: a request may already be on its way.
@@ -27,16 +28,14 @@
 CLOSING_REQUEST_TIMEOUT_MS = 800.0
 KEEP_ALIVE_TIMEOUT_MS = 75_000.0  # of an idle connection that has sent a job
 LINGER_TIMEOUT_MS = 1_000.0  # after the last response, for the client to read it and stop sending
-# Bytes discarded while lingering: each connection may send the first number, MAX_LARGE_LINGERS at a time the
-# second.
+# Bytes that are discarded while a connection lingers: the first limit applies to each connection, and the
+# second to MAX_LARGE_LINGERS connections at a time.
 LINGER_BYTES, MAX_LINGER_BYTES = 1 << 20, 1 << 26
 MAX_LARGE_LINGERS = 2
 JOB_CONNECTIONS_SHARE = 0.75  # of the maximum of job connections; idle ones beyond it are closed
 ACCEPT_QUEUED_TIMEOUT_MS = 20.0  # to accept one connection from the listener's queue
 MAX_EXCESS_CONNECTIONS = 16  # accepted beyond the limit, only to send them an error
-ARRIVAL_RESOLUTION_MS = (
-    10.0  # data that arrives this close together gets one time stamp, to bound their number
-)
+ARRIVAL_RESOLUTION_MS = 10.0  # data that arrives within it gets one time stamp, to bound their number
 MAX_LOGGED = 50  # rejections that are logged; a flood of them would cost CPU and fill the log
 RESPONSE_COUNTERS = {Served: PASSED, Refused: DROPPED, Failed: BAD_GATEWAY}
 _starts_request = re.compile(rb"[A-Z]{1,16}( |$)").match
@@ -53,16 +52,11 @@
         self.head = b""  # the bytes of a request until its head is complete
         self.waiting_since = now  # when it was opened, or when its last request was served
         self.has_sent_job = False
-        self.held_bytes = (
-            0  # counted against the memory for bodies: of the current body and of pipelined data
-        )
-        self.queued_since: float | None = (
-            None  # earliest arrival of a request that waited in the listener's queue
-        )
+        self.held_bytes = 0  # of the current body and of pipelined data, taken from the memory for bodies
+        # The earliest time at which a request that waited in the listener's queue can have arrived.
+        self.queued_since: float | None = None
         self.skips_linger = False  # its descriptor is needed: it closes at once unless data is unread
-        self._arrivals = deque(
-            [(0, now)]
-        )  # (total bytes received, time), for bytes whose time is still needed
+        self._arrivals = deque([(0, now)])  # (total bytes received, time); earlier entries are dropped
         self._received_bytes = 0  # in all, passed to `http`
         self.discarded_input = False  # some pipelined data was discarded, so no further request can be read
 
@@ -83,7 +77,7 @@
 
 
 class Downstream:
-    """Accepts a bounded number of connections and serves them until it is told to close.
+    """Accepts a bounded number of connections and serves them until it is closed.
 
     Beyond the limit it closes first connections that got an error, then those that have sent no job yet, then
     those that have been idle longest.  Silent or misbehaving connections must not displace regular clients.
@@ -93,9 +87,7 @@
         self, host, wheel, counters, max_connections: int, max_job_connections: int, body_bytes: float
     ):
         self.host, self.wheel, self.counters = host, wheel, counters
-        self.free_body_bytes = self.max_body_bytes = (
-            0.0  # of all bodies together: still free, and the maximum
-        )
+        self.free_body_bytes = self.max_body_bytes = 0.0  # for all bodies together
         self.connections: dict[ClientConnection, None] = {}
         # Each in order of insertion: the first one is closed first.
         self.lingering: dict[ClientConnection, None] = {}
@@ -103,7 +95,7 @@
         self.idle: dict[ClientConnection, None] = {}
         self.open_request_ids: set[str] = set()  # of streams without a final response
         # The serving state of the process, set by Service.
-        self.up = False  # the response to health checks
+        self.up = False  # the response to health checks: whether clients should be sent here
         self.closing = False  # connections are closed after each response, and as soon as they are idle
         self.ended = False  # all open streams have a final response, and new ones get theirs at once
         self._accepting, self._connection_closed, self._large_lingers = trio.CancelScope(), trio.Event(), 0
--- a/molespur/net/host.py
+++ b/molespur/net/host.py
@@ -102,14 +102,11 @@
         self.on_final_response: Callable[[Stream, FinalResponse], None] | None = None
         self.on_probe_report: Callable[[str, dict[str, float]], None] | None = None
         self.draw_for_job: Callable[[str], float] | None = None  # a number from 0 to 1 for an idempotency key
-        self.adjust_pause: Callable[[float], float] | None = (
-            None  # the pause that is sent to a refused client
-        )
+        self.adjust_pause: Callable[[float], float] | None = None  # for the pause sent to a refused client
         self.on_cold_use: Callable[[io.ColdUse], None] | None = None
         self.refresh_shared_state: Callable[[], None] | None = None
-        self.shared_state_valid_until = float(
-            "inf"
-        )  # from this time on the shared state must be read again before use
+        # From this time on the shared state must be read again before use.
+        self.shared_state_valid_until = float("inf")
         self._handlers = {
             io.Send: self._send, io.Cancel: self._cancel, io.Refuse: self._refuse, io.Fail: self._fail,
             io.SetTimer: self._set_timer, io.Watch: self._watch, io.Probe: self._probe,
--- a/molespur/net/upstream.py
+++ b/molespur/net/upstream.py
@@ -16,10 +16,8 @@
 from .failure import Cause, Failure, Served, Stage
 
 log = logs.get(__name__)
-MAX_LINE_BYTES = 64 * 1024  # the size limit of a body
-RESPONSE_TAIL_TIMEOUT_MS = (
-    500.0  # for the rest of a response after its last line; then the connection is closed
-)
+MAX_LINE_BYTES = 64 * 1024  # of a response line; no body is larger, so no line is
+RESPONSE_TAIL_TIMEOUT_MS = 500.0  # for the rest of a response after its last line; then it is closed
 # Delay before a connection is used again after a response that names no request (a refusal or an error).  A
 # duplicate of it that arrives some milliseconds late would be read as the response to the next request, and
 # would claim that this request never ran.
--- a/molespur/net/values.py
+++ b/molespur/net/values.py
@@ -14,11 +14,7 @@
 
     def __init__(self, max_value_bytes: int):
         self.max_value_bytes = max_value_bytes
-        self._text, self._at, self._depth = (
-            bytearray(),
-            0,
-            0,
-        )  # unconsumed bytes; scan position; nesting depth
+        self._text, self._at, self._depth = bytearray(), 0, 0  # unconsumed bytes, scan position, nesting
 
     def feed(self, data: bytes) -> tuple[list[bytes], bool]:
         """Return the values that are complete now, and whether a line ended outside of any value."""
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -35,8 +35,8 @@
     await worker.send(done("r0"))
     await a.read(b"made of r0")
     for i in range(12):
-        with socket.create_connection(site.address) as gone:
-            gone.sendall(request(f"r{i + 1}"))
+        with socket.create_connection(site.address) as client:
+            client.sendall(request(f"r{i + 1}"))
         await settle()
     assert site.counters["in.streams"] == 1
     assert site.counters["in.client_gone"] == 12
