--- a/molespur/fleet/uses.py
+++ b/molespur/fleet/uses.py
@@ -104,12 +104,13 @@
         """Join both sides and register the program's hooks."""
         self.machine, self.notify, config, host = machine, notify, machine.config, self.host
         self.fresh_ms, self.adapts = config.margin_ms / 2, adapts
-        host.observe, host.cold_use, host.freshen = self._ended, self._cold_use, freshen
-        host.sending, host.answered, host.pause = self._sending, self._answered, self._pause
+        host.on_attempt_ended, host.on_cold_use = self._ended, self._cold_use
+        host.refresh_shared_state = freshen
+        host.on_send, host.on_final_response, host.adjust_pause = self._sending, self._answered, self._pause
         if config.priorities:
-            host.draw = self._draw
+            host.draw_for_job = self._draw
         if machine.watching is not None:
-            host.probed = self._probed
+            host.on_probe_report = self._probed
         if CONNECTIONS in config.kinds:
             self.upstream.may_open = self._may_open
 
@@ -119,7 +120,7 @@
         """What we have spent of a budget within its grace period."""
         kind, _, worker = budget.partition("/")
         if kind == CONNECTIONS:
-            return float(self.upstream.open_to(worker))
+            return float(self.upstream.open_connections(worker))
         part, sent_since = self._cold.get(worker, (0.0, False))
         # guards against lending what has just been sent: until the module reports again, all of ours counts
         return max(part, self._delivered.cold_shares.get(worker, 0.0)) if sent_since else part
@@ -143,17 +144,17 @@
         """Apply what the fleet shares now to the decision module and the upstream side."""
         now, parts, machine = self.clock.now(), {}, self.machine
         kinds = machine.config.kinds
-        for uid, placed in self.cluster.placed.items():
+        for uid, placed in self.cluster.listed.items():
             if CONNECTIONS in kinds:
                 limit = machine.available(f"{CONNECTIONS}/{uid}", now) + TOLERANCE
                 if self.adapts:
                     limit = min(limit, self._limit(uid).limit)
-                self.upstream.bound(uid, int(limit))
+                self.upstream.set_max_open(uid, int(limit))
             started_at = placed.entry.born_ms
             if COLD in kinds and started_at and now - started_at < self.host.settings.cold_ms:
                 parts[uid] = machine.available(f"{COLD}/{uid}", now)
         self._update_listed()
-        self.host.fresh_until = now + self.fresh_ms
+        self.host.shared_state_valid_until = now + self.fresh_ms
         watched = machine.watching.watched if machine.watching is not None else None
         shed = dict(zip(self.class_names, machine.shed_fractions(now), strict=False))
         news = SharedState(parts, frozenset(machine.bad_workers(now)), self._retries(now), watched, shed)
@@ -163,8 +164,8 @@
             self.host.deliver(news)
 
     def _update_listed(self) -> None:
-        if self.cluster.placed.keys() != self._listed:
-            self._listed = frozenset(self.cluster.placed)
+        if self.cluster.listed.keys() != self._listed:
+            self._listed = frozenset(self.cluster.listed)
             self._limits = {uid: one for uid, one in self._limits.items() if uid in self._listed}
             self.notify(WorkersListed(self._listed))
 
@@ -219,7 +220,7 @@
     def _ended(self, worker: str, job_class: str, outcome: Outcome, elapsed_ms: float) -> None:
         if outcome is Outcome.OK:
             if CONNECTIONS in self.machine.config.kinds:
-                self._limit(worker).sample(elapsed_ms, self.upstream.open_to(worker))
+                self._limit(worker).sample(elapsed_ms, self.upstream.open_connections(worker))
             self.notify(RequestEnded(worker, self.response_times.too_slow(job_class, elapsed_ms)))
             return
         self._failing = True
@@ -239,7 +240,7 @@
 
     def _answered(self, stream, answer) -> None:
         """Count how a job ended, for the fleet's load."""
-        arrival, took_ms = stream.arrival, self.clock.now() - stream.since
+        arrival, took_ms = stream.arrival, self.clock.now() - stream.arrived_at
         name, cls = arrival.job_class, self.host.classes.get(arrival.job_class)
         self._loads[name, "offered"] += 1
         if isinstance(answer, Served):
--- a/molespur/net/service.py
+++ b/molespur/net/service.py
@@ -1,4 +1,4 @@
-"""Carries out the stance that the process's state machine gives; holds no rule of its own."""
+"""Applies the serving state that the process's state machine computes.  Has no rules of its own."""
 
 import trio
 
@@ -9,56 +9,56 @@
 
 
 class Service:
-    """The process as a service: what it is told, and what follows for clients' connections and streams."""
+    """Passes events to the process's state machine and applies its state to connections and streams."""
 
     def __init__(self, downstream, host, clock, wheel):
         self.process = ProcessLifecycle()
         self.downstream, self.host, self.clock, self.wheel = downstream, host, clock, wheel
-        self.left = trio.Event()  # the listener is to be closed
+        self.stopped_accepting = trio.Event()  # the listener is to be closed
         self._timer = None
-        self._taken = self.stance()
-        self.retune(host.settings)
+        self._applied = self.serving_state()
+        self.apply_settings(host.settings)
 
-    def stance(self) -> ServingState:
+    def serving_state(self) -> ServingState:
         return self.process.serving_state(self.clock.now())
 
-    def retune(self, settings) -> None:
-        """Other settings hold: a stop takes as long as the longest deadline asks."""
+    def apply_settings(self, settings) -> None:
+        """Apply new settings.  A stop takes as long as the longest deadline of a job class."""
         self.process.max_deadline_ms = max(c.deadline_ms for c in settings.classes)
-        self._take_stance()
+        self._apply_state()
 
-    def tell(self, told: ProcessEvent) -> str | None:
-        """Something has happened; the answer says why it can't be done, if so."""
-        why = self.process.handle(self.clock.now(), told)
-        self._take_stance()
-        return why
+    def handle(self, event: ProcessEvent) -> str | None:
+        """Handle an event; return the reason if it is refused, else None."""
+        refusal = self.process.handle(self.clock.now(), event)
+        self._apply_state()
+        return refusal
 
-    def _take_stance(self) -> None:
-        now, before = self.clock.now(), self._taken
-        stance = self._taken = self.process.serving_state(now)
-        if stance.phase is not before.phase:
-            log.info("service.phase", now=stance.phase.value, before=before.phase.value)
-        self.downstream.up = stance.up
-        self.downstream.closing, self.downstream.ended = stance.closing, stance.ended
-        if stance.closing and not before.closing:
+    def _apply_state(self) -> None:
+        now, before = self.clock.now(), self._applied
+        state = self._applied = self.process.serving_state(now)
+        if state.phase is not before.phase:
+            log.info("service.phase", now=state.phase.value, before=before.phase.value)
+        self.downstream.up = state.up
+        self.downstream.closing, self.downstream.ended = state.closing, state.ended
+        if state.closing and not before.closing:
             self.downstream.close_idle()
-        if stance.keeps_upstream is not before.keeps_upstream:
-            self.host.upstream.keep(stance.keeps_upstream)
-        if before.accepting and not stance.accepting:
+        if state.keeps_upstream is not before.keeps_upstream:
+            self.host.upstream.keep(state.keeps_upstream)
+        if before.accepting and not state.accepting:
             self.downstream.stop_accepting()
-            self.left.set()
-        if stance.ended and not before.ended:
-            self.host.end_all()
+            self.stopped_accepting.set()
+        if state.ended and not before.ended:
+            self.host.close_all_streams()
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        if stance.changes_at != float("inf"):
-            self._timer = self.wheel.after(stance.changes_at - now, self._take_stance)
+        if state.changes_at != float("inf"):
+            self._timer = self.wheel.after(state.changes_at - now, self._apply_state)
 
-    async def gone(self, listener) -> None:
-        """Come back once the listener is left and all that was taken is answered."""
-        await self.left.wait()
-        await self.downstream.take_rest(listener)
-        # guards against connections that nobody will ever take: from now on they are refused
+    async def wait_closed(self, listener) -> None:
+        """Return once the listener is closed and all accepted requests have a response."""
+        await self.stopped_accepting.wait()
+        await self.downstream.accept_queued(listener)
+        # From now on connections are refused; otherwise they would stay in the queue and never be accepted.
         await listener.aclose()
-        await self.downstream.empty()
+        await self.downstream.wait_until_closed()
--- a/tests/replacement/test_replacement.py
+++ b/tests/replacement/test_replacement.py
@@ -162,7 +162,7 @@
     whole = mine.rendezvous.tell
     mine.rendezvous.tell = lambda record: (told.append(record.room), whole(record))
     listed = {"rev": 3, "targets": [target("w1")], "discovery": "127.0.0.1:2"}
-    mine.serving(SimpleNamespace(tell=phases.append), None, lambda: listed)
+    mine.serving(SimpleNamespace(handle=phases.append), None, lambda: listed)
     for _ in range(20):
         mine.look()
     assert told == [False]
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -138,7 +138,7 @@
         nursery.start_soon(self.wheel.run)
         self.host.deliver(Started())
         self.cluster.start()
-        self.service.tell(ProcessEvent.READY)
+        self.service.handle(ProcessEvent.READY)
         self.start = trio.current_time()
 
     async def dial(self, address):
@@ -311,11 +311,11 @@
             await peer.stream.aclose()
             assert head.status_code == {"yes": 200, "no": 503}[words[0]], head
             return
-        why = self.service.tell(ProcessEvent(verb))
+        why = self.service.handle(ProcessEvent(verb))
         assert (why or "") == " ".join(words), why
         if verb == "stop":
             listener = types.SimpleNamespace(aclose=trio.lowlevel.checkpoint)
-            self.nursery.start_soon(self.service.gone, listener)
+            self.nursery.start_soon(self.service.wait_closed, listener)
 
     async def until(self, condition):
         with trio.fail_after(10):
@@ -332,14 +332,14 @@
             assert (trio.current_time() - self.start) * 1000 <= int(verb)
         elif who == "budget":
             self.upstream.may_open = lambda _, have: have < int(verb)
-            self.upstream.bound("w1", int(verb))
+            self.upstream.set_max_open("w1", int(verb))
         elif who in ("program", "front"):
             await self.program(verb, words)
         elif who == "retune":
             profiles = [p | {"name": verb} if p["name"] == "lookup" else p for p in SETTINGS["profiles"]]
             limits = SETTINGS["limits"] | {"tryLimit": int(words[0])}
             given = config.read_settings(SETTINGS | {"profiles": profiles, "limits": limits})[0]
-            self.host.retune(given)
+            self.host.apply_settings(given)
         elif who == "move":
             self.watch = None
             self.source.move(("127.0.0.1", int(words[0])))
