--- a/molespur/net/downstream.py
+++ b/molespur/net/downstream.py
@@ -362,8 +362,8 @@
             finally:
                 client.reading = None
         if self.closing:
-            raise Rejection(503, "request was incomplete when connections were closed")
-        raise Rejection(408, "request was incomplete at its read timeout")
+            raise Rejection(503, "the request did not arrive whole before the end")
+        raise Rejection(408, "the request did not arrive whole in time")
 
     async def _read_rest(self, client: ClientConnection):
         request = await self._next_event(client)
@@ -375,7 +375,7 @@
             body += event.data
             self._hold_bytes(client, len(event.data))
             if len(body) > MAX_BODY_BYTES:
-                raise Rejection(413, "body is too large")
+                raise Rejection(413, "the body is too large")
             if self.free_body_bytes < 0:
                 # Many bodies at once could get the process killed for its memory.  This job has not run.
                 raise Rejection(503, "too many bodies at once", class_of(request))
@@ -383,7 +383,7 @@
             return None, None
         rest = client.http.trailing_data[0]
         if rest and not _starts_request(rest[:17]):
-            raise Rejection(400, "body is longer than its Content-Length")
+            raise Rejection(400, "the body is longer than its length")
         return request, bytes(body)
 
     # -- Responding ------------------------------------------------------------------------------
@@ -413,7 +413,7 @@
         if not responses and stream is not None:
             self.host.client_disconnected(stream)
             if ahead_bytes > MAX_READ_AHEAD_BYTES:
-                raise Rejection(413, "too much data sent before the response")
+                raise Rejection(413, "too much was sent before the answer")
         return responses[0] if responses else None
 
     async def _read_ahead(self, client: ClientConnection) -> bytes:
--- a/molespur/net/intake.py
+++ b/molespur/net/intake.py
@@ -30,13 +30,13 @@
     fields = dict(request.headers)
     if b"transfer-encoding" in fields and b"content-length" in fields:
         # Request smuggling: the scheduler and a worker might see the end of the body at different places.
-        raise Rejection(400, "both Content-Length and Transfer-Encoding are given")
+        raise Rejection(400, "both Content-Length and Transfer-Encoding")
     if head.partition(b"\r\n\r\n")[0].lower().count(b"\ncontent-length:") > 1:
         # Request smuggling: the parser keeps one of the lengths, and another reader might use the other.
         raise Rejection(400, "Content-Length is given twice")
     length = int(fields.get(b"content-length", b"0"))
     if length > MAX_BODY_BYTES:
-        raise Rejection(413, "body is too large")
+        raise Rejection(413, "the body is too large")
     return length
 
 
@@ -53,14 +53,14 @@
             raise Rejection(400, f"{name.decode()} is given twice")
         headers[name] = value.decode("latin-1").strip()
     if request.method != b"POST":
-        raise Rejection(405, "method must be POST")
+        raise Rejection(405, "jobs arrive by POST")
     name = class_of(request)
     given = headers.get(b"x-priority-class", name)
     cls = classes.get(given)
     if cls is None:
-        raise Rejection(404, f"unknown job class {given!r}")
+        raise Rejection(404, f"unknown class {given!r}")
     if given != name:
-        raise Rejection(400, "path and X-Priority-Class name different classes")
+        raise Rejection(400, "the path and X-Priority-Class name different classes")
     request_id = headers.get(b"x-request-id")
     if not request_id:
         raise Rejection(400, "X-Request-ID is missing")
@@ -68,7 +68,7 @@
         raise Rejection(400, "Idempotency-Key is missing")
     time_left = headers.get(b"x-timeout-ms")
     if time_left is not None and not _is_integer(time_left.encode("latin-1")):
-        raise Rejection(400, "x-timeout-ms: not an integer number of milliseconds")
+        raise Rejection(400, "x-timeout-ms: not whole milliseconds")
     cost = _number(headers, b"x-cost", None)
     attrs = {"slots": 1.0, "memory": 0.0}
     for part in filter(None, headers.get(b"x-attrs", "").split(",")):
