--- a/tests/operations/test_figures.py
+++ b/tests/operations/test_figures.py
@@ -35,7 +35,7 @@
 
     # -- Workers ---------------------------------------------------------------------------------
 
-    async def attend(self, address, peer):
+    async def serve_requests(self, address, peer):
         if address[1] < 3000:
             await trio.sleep_forever()  # discovery, which says nothing
         while type(head := await peer.event()) is h11.Request:
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,30 +1,30 @@
-"""A small language for scenarios on in-memory connections and trio's mock clock.
+"""A small language for test scenarios on in-memory connections and trio's mock clock.
 
-A scenario is a text of steps, one a line: an actor, a verb, its words.  Actors are clients (a, b, ..),
-workers (w1, w2, ..) and discovery (d).
+A scenario is a text with one step on each line: an actor, a verb and its words.  Actors are clients (a, b,
+..), workers (w1, w2, ..) and discovery (d).
 
-    a send lookup r1        a client hands in a job;            a raw TEXT     sends bytes as they are
-                                                                a raw-on TEXT  sends more of them
-    a expect 200 text       its answer, with what it holds;     a expect closed
-    w1 expect r1            a worker has the whole request;     w1 expect closed r1
-    w1 send r1 done hello   a line of its answer;               w1 raw r1 TEXT sends bytes as they are
-    w1 refuse | hang        it takes no connections, or never answers one
+    a send lookup r1        a client submits a job;             a raw TEXT     sends bytes unchanged
+                                                                a raw-on TEXT  sends further bytes
+    a expect 200 text       its response, with words in it;     a expect closed
+    w1 expect r1            a worker got the full request;      w1 expect closed r1
+    w1 send r1 done hello   a line of its response;             w1 raw r1 TEXT sends bytes unchanged
+    w1 refuse | hang        it refuses connections, or never accepts one
     d expect 0              discovery is watched from version 0;    d send {json} (or nothing: an empty line)
     X close [r1]            closes a connection;                wait 200       lets milliseconds pass
-    count sent.ok 1         a counter's value;                  break module   the next event raises
-    retune NAME 1           the settings call lookup NAME from now on, and allow one attempt
-    mute module             the next event is lost on it;   move discovery 9   it is on another port now
-    program stop            SIGTERM has come;  program evacuate|activate|successor|alone  the process is told
-    program evacuate stopping   .. and says why not;  front up yes|no      the front asks
-    within 5050             no more than these milliseconds have passed
-    budget 1                connections to each worker that the fleet allows this scheduler
+    count sent.ok 1         the value of a counter;             break module   the next event raises
+    retune NAME 1           new settings: the class lookup is called NAME, and one attempt is allowed
+    mute module             the next event has no actions;  move discovery 9   its port changes
+    program stop            a SIGTERM;  program evacuate|activate|successor|alone  an event of the process
+    program evacuate stopping   .. is rejected for that reason;  front up yes|no      a health check
+    within 5050             at most so many milliseconds have passed
+    budget 1                max connections to each worker that the fleet allows this scheduler
 
 With `registry="etcd"` or `"consul"` the workers are listed by a stand-in registry (g), not by discovery:
 
     g put w2 [leaving] [boot=5]     g delete w2     g compact     g away | back (refuses connections, or not)
-    told w2 active|leaving|none     what the scheduler holds of a worker, once that is so
-    born w2 5000                    since when the decision module takes it to run (0: long ago)
-    w1 slow 100                     a connection to it takes so long to come up
+    told w2 active|leaving|none     waits until the scheduler has this state of a worker
+    born w2 5000                    start time of a worker in the decision module (0: long ago)
+    w1 slow 100                     its connections take so long to open
 """
 
 import codecs
@@ -54,7 +54,7 @@
 from molespur.standins.registry import Registry
 
 REGISTRY_PORT, PREFIX = 2379, "molespur/workers/"
-LIVES = {"active": Lifecycle.IN_SERVICE, "leaving": Lifecycle.DRAINING, "none": None}
+LIFECYCLES = {"active": Lifecycle.IN_SERVICE, "leaving": Lifecycle.DRAINING, "none": None}
 
 SETTINGS = {
     "balancers": 1, "discovery": "subscribe", "zone": "z", "shapes": ["k"], "tick": 4.0,
@@ -74,7 +74,7 @@
 
 
 def make_config(probing=False):
-    """The configuration that a scheduler would read from its file."""
+    """The configuration that a scheduler reads from its file."""
     wire = SETTINGS | {"limits": SETTINGS["limits"] | {"probing": probing}}
     known = {"rev": 0, "all": True, "targets": [target("w1")]}
     return config.Config(
@@ -98,7 +98,7 @@
         return event
 
     async def read_message(self):
-        """The next whole message: its head and its body."""
+        """Read the next full message; its head and its body."""
         head, body = await self.event(), b""
         while type(event := await self.event()) is h11.Data:
             body += event.data
@@ -107,13 +107,13 @@
 
 
 class World:
-    """A scheduler without sockets, and everyone it speaks with."""
+    """A scheduler without sockets, and all its peers."""
 
     def __init__(self, nursery, options):
         options = dict(options)
         kind = options.pop("registry", None)
         self.nursery, self.config = nursery, make_config(**options)
-        self.clients, self.requests, self.moods, self.watch = {}, {}, {}, None
+        self.clients, self.requests, self.behaviors, self.watch = {}, {}, {}, None
         self.counters, self.wheel, clock = Counters(), Wheel(4.0), Clock()
         self.dispatcher = Dispatcher(self.config.settings, 1)
         settings = self.config.settings
@@ -142,29 +142,29 @@
         self.start = trio.current_time()
 
     async def dial(self, address):
-        """The scheduler's way out, to a worker or to discovery."""
-        mood = self.moods.get(f"w{address[1] - 3000}")
-        if mood == "refuse":
+        """Open a connection of the scheduler to a worker, to discovery or to the registry."""
+        behavior = self.behaviors.get(f"w{address[1] - 3000}")
+        if behavior == "refuse":
             raise ConnectionRefusedError("refused")
-        if mood == "hang":
+        if behavior == "hang":
             await trio.sleep_forever()
-        if mood and mood.isdecimal():
-            await trio.sleep(int(mood) / 1000)
+        if behavior and behavior.isdecimal():
+            await trio.sleep(int(behavior) / 1000)
         ours, theirs = memory_stream_pair()
         if self.registry is not None and address[1] == REGISTRY_PORT:
             if self.registry.members[0].faults.refuse:
                 raise ConnectionRefusedError("refused")
             self.nursery.start_soon(self.registry.members[0].serve, theirs)
             return ours
-        self.nursery.start_soon(self.attend_until_closed, address, Peer(theirs, h11.SERVER))
+        self.nursery.start_soon(self.serve_until_closed, address, Peer(theirs, h11.SERVER))
         return ours
 
-    async def attend_until_closed(self, address, peer):
+    async def serve_until_closed(self, address, peer):
         with contextlib.suppress(trio.ClosedResourceError, trio.BrokenResourceError):
-            await self.attend(address, peer)
+            await self.serve_requests(address, peer)
 
-    async def attend(self, address, peer):
-        """Read what the scheduler asks on one connection; the scenario answers."""
+    async def serve_requests(self, address, peer):
+        """Read the scheduler's requests on one connection; steps of the scenario respond."""
         while type(head := await peer.event()) is h11.Request:
             while type(await peer.event()) is h11.Data:
                 pass
@@ -229,7 +229,7 @@
 
     async def worker(self, name, verb, words):
         if verb in ("refuse", "hang", "accept", "slow"):
-            self.moods[name] = words[0] if verb == "slow" else verb
+            self.behaviors[name] = words[0] if verb == "slow" else verb
             return
         key = (name, words[-1] if verb == "expect" else words[0])
         while key not in self.requests:
@@ -268,9 +268,9 @@
     async def discovery(self, verb, words):
         while self.watch is None:
             await trio.sleep(0.001)
-        peer, asked = self.watch
+        peer, target = self.watch
         if verb == "expect":
-            assert asked.endswith("watch=1" if words == ["whole"] else f"watch=1&after={words[0]}"), asked
+            assert target.endswith("watch=1" if words == ["whole"] else f"watch=1&after={words[0]}"), target
             return
         if verb == "close":
             self.watch = None
@@ -300,13 +300,13 @@
                 await member.drop_all()
 
     async def program(self, verb, words):
-        """What the process is told, and what the front hears of it."""
+        """Bring the process an event, or send it a health check."""
         if verb == "up":
             ours, theirs = memory_stream_pair()
             self.nursery.start_soon(self.downstream.serve, ours)
             peer = Peer(theirs, h11.CLIENT)
-            asked = h11.Request(method="GET", target="/up", headers=[("Host", "x")])
-            await peer.stream.send_all(peer.http.send(asked) + peer.http.send(h11.EndOfMessage()))
+            request = h11.Request(method="GET", target="/up", headers=[("Host", "x")])
+            await peer.stream.send_all(peer.http.send(request) + peer.http.send(h11.EndOfMessage()))
             head, _ = await peer.read_message()
             await peer.stream.aclose()
             assert head.status_code == {"yes": 200, "no": 503}[words[0]], head
@@ -317,7 +317,7 @@
             listener = types.SimpleNamespace(aclose=trio.lowlevel.checkpoint)
             self.nursery.start_soon(self.service.wait_closed, listener)
 
-    async def until(self, condition):
+    async def wait_until(self, condition):
         with trio.fail_after(10):
             while not condition():
                 await trio.sleep(0.001)
@@ -344,14 +344,16 @@
             self.watch = None
             self.source.move(("127.0.0.1", int(words[0])))
         elif who in ("break", "mute"):
-            self.whole, self.dispatcher.handle = self.dispatcher.handle, getattr(self, f"{who}_once")
+            self.real_handle, self.dispatcher.handle = self.dispatcher.handle, getattr(self, f"{who}_once")
         elif who == "g":
             await self.list_by_registry(verb, words)
         elif who == "told":
-            want = LIVES[words[0]]
-            await self.until(lambda: self.cluster.lifecycle(verb) is want)
+            want = LIFECYCLES[words[0]]
+            await self.wait_until(lambda: self.cluster.lifecycle(verb) is want)
             workers = self.dispatcher.workers
-            await self.until(lambda: (verb in workers and workers[verb].in_service) is (words[0] == "active"))
+            await self.wait_until(
+                lambda: (verb in workers and workers[verb].in_service) is (words[0] == "active")
+            )
         elif who == "born":
             assert self.dispatcher.workers[verb].started_at == float(words[0]), self.dispatcher.workers[
                 verb
@@ -365,11 +367,11 @@
         await wait_all_tasks_blocked()
 
     def mute_once(self, now, event):
-        self.dispatcher.handle = self.whole
+        self.dispatcher.handle = self.real_handle
         return []
 
     def break_once(self, now, event):
-        self.dispatcher.handle, self.dispatcher.actions = self.whole, []
+        self.dispatcher.handle, self.dispatcher.actions = self.real_handle, []
         raise RuntimeError("broken by the scenario")
 
 
@@ -383,8 +385,8 @@
                 try:
                     with trio.fail_after(60):
                         await world.step(line)
-                except (AssertionError, trio.TooSlowError) as problem:
-                    raise AssertionError(f"{line}: {problem!r}") from problem
+                except (AssertionError, trio.TooSlowError) as error:
+                    raise AssertionError(f"{line}: {error!r}") from error
             nursery.cancel_scope.cancel()
 
     trio.run(main, clock=MockClock(autojump_threshold=0))
