--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -34,8 +34,8 @@
     return dispatcher
 
 
-def entry(name, zone="a", kind="k", cell=0, life=Lifecycle.IN_SERVICE, power=4.0, born=0.0):
-    return WorkerEntry(name, zone, kind, cell, life, power, born)
+def entry(name, zone="a", kind="k", cell=0, lifecycle=Lifecycle.IN_SERVICE, power=4.0, started_at=0.0):
+    return WorkerEntry(name, zone, kind, cell, lifecycle, power, started_at)
 
 
 def update_fleet(dispatcher, *entries, now=1.0, mode=UpdateMode.COMPLETE):
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -66,7 +66,7 @@
             events.append((d, AttemptEnded(send.request, number, outcome, now - sent, ok)))
         for d in fleet:
             if d.notified_at is not None and d.notified_at <= now:
-                update_fleet(d, entry("w", born=worker.started_at), now=now)
+                update_fleet(d, entry("w", started_at=worker.started_at), now=now)
                 d.workers["w"].learn_slots(SLOTS)
                 d.notified_at = None
             d.sent = getattr(d, "sent", {})
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -137,7 +137,7 @@
     d, probed, _ = submit_with_probes()
     for n, worker in enumerate(probed[:5]):
         probe_reply(d, 3.0 + 2 * n, worker, n == 0)
-    d.handle(14.0, FleetUpdate(UpdateMode.PARTIAL, (entry(probed[0], life=Lifecycle.DRAINING),)))
+    d.handle(14.0, FleetUpdate(UpdateMode.PARTIAL, (entry(probed[0], lifecycle=Lifecycle.DRAINING),)))
     out = probe_reply(d, 15.0, probed[5], False)
     assert [send.worker not in probed for send in actions_of(out, Send)] == [True]
 
@@ -285,7 +285,7 @@
     ]
     sent = [[] for _ in fleet]
     for number, d in enumerate(fleet):
-        update_fleet(d, entry("new", born=1.0), now=1.0)
+        update_fleet(d, entry("new", started_at=1.0), now=1.0)
         d.workers["new"].learn_slots(8)
         for now in range(5, 9000, 25):
             d.now = float(now)
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -187,7 +187,7 @@
 def test_a_large_job_waits_for_a_warm_worker_where_a_share_holds_usual_jobs():
     """Single jobs may exceed a dispatcher's share only where that is smaller than a usual job."""
     d = make_dispatcher(cold_ms=60_000.0)
-    update_fleet(d, entry("new", born=1.0))
+    update_fleet(d, entry("new", started_at=1.0))
     for _ in range(20):
         d.classes["safe"].learn_run(100.0)
     d.mean_run = 100.0
@@ -348,7 +348,7 @@
 
 def test_cold_worker_is_forecast_as_one_with_fewer_slots():
     d = make_dispatcher()
-    update_fleet(d, entry("w"), entry("new", born=1.0))
+    update_fleet(d, entry("w"), entry("new", started_at=1.0))
     warm, cold = d.workers["w"], d.workers["new"]
     assert cold.slope == warm.slope
     warm.own_slots = cold.own_slots = 2.0  # of four slots, and of one while a quarter warm
@@ -357,7 +357,7 @@
 
 def test_a_cold_worker_gets_jobs_even_where_a_share_is_smaller_than_a_job():
     d = make_dispatcher(balancers=8)
-    update_fleet(d, entry("new", born=1.0))
+    update_fleet(d, entry("new", started_at=1.0))
     sent, now = 0, 10.0
     for n in range(80):
         now += 100
@@ -387,7 +387,7 @@
 def test_the_load_of_warm_workers_is_not_assumed_for_cold_ones():
     """The load by others is learned apart for cold workers: that of warm ones must not exclude them."""
     d = make_dispatcher(balancers=9, cold_ms=60_000.0)
-    update_fleet(d, entry("w"), entry("new", born=1.0))
+    update_fleet(d, entry("w"), entry("new", started_at=1.0))
     warm, cold = d.workers["w"], d.workers["new"]
     warm.add_own(3.0, 1.0)
     warm.add_own(0.0, 5000.0)
@@ -469,7 +469,7 @@
             preferred.setdefault(key, Counter()).update(chosen)
     assert all(seen.most_common(1)[0][1] >= 21 for seen in preferred.values())
     assert len({seen.most_common(1)[0][0] for seen in preferred.values()}) == 8
-    d.handle(3.0, FleetUpdate(UpdateMode.PARTIAL, (entry("w1", life=Lifecycle.GONE),)))
+    d.handle(3.0, FleetUpdate(UpdateMode.PARTIAL, (entry("w1", lifecycle=Lifecycle.GONE),)))
     assert not any("w1" in d.preferred[k] for k in range(40) if d._key_match(d.workers["w0"], k) >= 0)
 
 
@@ -556,7 +556,7 @@
 @pytest.mark.parametrize(("share", "expected_share"), [(None, 0.25), (0.5, 0.5), (1.0, 1.0), (0.0, 0.0)])
 def test_a_cold_worker_gets_the_share_that_the_schedulers_agree_on(share, expected_share):
     d = make_dispatcher(balancers=4, cold_ms=60_000.0, cold_window_ms=4000.0)
-    update_fleet(d, entry("new", born=1.0))
+    update_fleet(d, entry("new", started_at=1.0))
     for state in d.classes.values():
         state.mean = d.mean_run = 100.0  # sends count for at least their class's mean
     limit = d._cold_budget(d.workers["new"])[1]
--- a/tests/test_random_events.py
+++ b/tests/test_random_events.py
@@ -146,7 +146,7 @@
         born = self.now if old is not None and self.rng.random() < 0.3 else (old.born_ms if old else 0.0)
         if born == self.now:
             self.cold_sent.pop(name, None)
-        new = entry(name, zone="ab"[int(name[1]) % 2], cell=int(name[1]) % 3, life=life, born=born)
+        new = entry(name, zone="ab"[int(name[1]) % 2], cell=int(name[1]) % 3, lifecycle=life, started_at=born)
         self.fleet[name] = new
         self.carry_out(self.d.handle(self.now, FleetUpdate(UpdateMode.PARTIAL, (new,))))
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -96,7 +96,7 @@
 def test_a_draining_worker_gets_no_new_job(life):
     d = make_dispatcher()
     update_fleet(d, entry("w1"), entry("w2"))
-    update_fleet(d, entry("w1", life=life), now=5.0, mode=UpdateMode.PARTIAL)
+    update_fleet(d, entry("w1", lifecycle=life), now=5.0, mode=UpdateMode.PARTIAL)
     for n in range(20):
         assert {a.worker for a in actions_of(submit(d, n, now=10.0 + n), Send)} <= {"w2"}
 
@@ -152,7 +152,7 @@
 
 def test_a_cold_worker_gets_no_more_than_its_budget():
     d = make_dispatcher(balancers=2)
-    update_fleet(d, entry("new", born=100.0), now=100.0)
+    update_fleet(d, entry("new", started_at=100.0), now=100.0)
     sent = 0
     for n in range(60):
         now = 110.0 + n * 10
@@ -165,7 +165,7 @@
     d = make_dispatcher()
     update_fleet(d, entry("w"))
     d.workers["w"].ejections = 3
-    update_fleet(d, entry("w", born=500.0), now=500.0)
+    update_fleet(d, entry("w", started_at=500.0), now=500.0)
     d.now = 500.0
     assert d.workers["w"].ejections == 0 and d._warmth(d.workers["w"]) == pytest.approx(0.25)
 
@@ -175,7 +175,7 @@
     sent, balancers = 0.0, 150
     for seed in range(balancers):
         d = make_dispatcher(seed, balancers=balancers, cold_ms=8000.0, cold_window_ms=2000.0)
-        update_fleet(d, entry("new", born=1.0))
+        update_fleet(d, entry("new", started_at=1.0))
         for now in (2.0, 600.0, 1200.0, 1900.0):
             for n, hint in enumerate((2000.0, 1000.0, 150.0)):
                 for state in d.classes.values():
--- a/tests/test_stream_machine.py
+++ b/tests/test_stream_machine.py
@@ -168,7 +168,7 @@
     @rule(worker=st.sampled_from(["w0", "w1", "w2"]), lifecycle=st.sampled_from(list(Lifecycle)))
     def update_worker(self, worker, lifecycle):
         self.lifecycles[worker] = lifecycle
-        self.host.deliver(io.FleetUpdate(UpdateMode.PARTIAL, (entry(worker, life=lifecycle),)))
+        self.host.deliver(io.FleetUpdate(UpdateMode.PARTIAL, (entry(worker, lifecycle=lifecycle),)))
 
     @rule(classes=st.sets(st.sampled_from(range(len(CLASSES))), min_size=1), attempts=st.integers(1, 4))
     def reload(self, classes, attempts):
