--- a/molespur/logic.py
+++ b/molespur/logic.py
@@ -25,7 +25,7 @@
 PREFERRED_MATCH, NEXT_MATCH = 0.9, 0.5  # key match of a preferred worker, and of the next in order
 KEY_SPREAD = 4.0  # further preferred workers of a key for each worker's fair share of all jobs
 MIN_REFIT_INTERVAL_MS, MIN_REFIT_JOBS = 2000.0, 30  # between refits, each of which costs thirty forecasts
-MAX_RUN_FORECASTS, MAX_HINTED_RUN_FORECASTS = 2.0, 3.0  # a run counts for so many at most
+MAX_RUN_FORECASTS, MAX_HINTED_RUN_FORECASTS = 2.0, 3.0  # cap on a run in training: outliers say little
 PACE_GAIN = 0.04  # for a worker's own pace: a hint errs by more than workers differ
 PACE_DECAY, KEY_DECAY = 0.8, 0.9  # factors applied at each refit
 MARGIN_RISE, MARGIN_FALL, MAX_MARGIN = 0.1, 0.005, 3.0  # in runs: for a late job, for one in time, in total
@@ -38,7 +38,7 @@
 SILENT_PROBES, MIN_SILENCE_MS = 2, 300.0  # failed probes in a row and time without contact, both to eject
 EJECT_MS, MAX_EJECTION_COUNT = 2000.0, 4  # first ejection; it doubles with each further one that counts
 HUNG_RUNS = 4.0  # a job overdue by more indicates no burst: the job, or its worker, hangs
-PANIC_THRESHOLD = 0.5  # with a smaller share of healthy workers, ejection is ignored
+PANIC_THRESHOLD = 0.5  # with a smaller share of healthy workers, ejections are ignored
 HELD_SCAN_MS_PER_JOB = 1.0  # min interval between scans of the held queue for each job in it
 HELD_RETRY_RUNS = 0.1  # interval of scans of the held queue, besides one whenever a job has been served
 RESPONSE_MARGIN_MS = 40.0  # a held job gets its final response this long before its client gives up
@@ -47,7 +47,7 @@
 COLD_LARGE_JOB_LOAD = 1.4  # like COLD_LOAD, for jobs larger than a dispatcher's share of the window
 PROBE_COST = 0.003  # score points that probes may cost for each request
 WORKER_PROBE_INTERVAL_MS, MAX_PROBE_INTERVAL_MS = 300.0, 2000.0  # min for one worker, max between any two
-QUOTA_BURST_JOBS = 4.0  # min burst at one of many dispatchers: its share may be below a job
+QUOTA_BURST_JOBS = 4.0  # min burst at one of many: its share may be below a job, and jobs cluster by chance
 PROBES_PER_JOB, REPORT_AGE_MS = 6, 1000.0  # workers probed before a job is sent; max age of a report, about
 
 
@@ -184,7 +184,7 @@
             self._eject(w)
 
     def _back_off(self, w):
-        """Send nothing to a full worker until a slot may be free, lest jobs use up their attempts on it."""
+        """Send nothing to a full worker until a slot may be free: jobs would use up their attempts on it."""
         w.full_until = self.now + self.mean_run * w.slope / w.slots * (0.5 + self.rng.random()) * 2**w.fulls
 
     def _eject(self, w):
@@ -404,7 +404,7 @@
             self.timers.after(HELD_RETRY_RUNS * self.mean_run, self._on_held_timer)
 
     def _retry_held(self):
-        """Try held jobs again: those still in time first, and of these the most valuable for their work."""
+        """Try held jobs again: those still in time first, and of these the most worth for its work first."""
         now = self.now
         # guards against the cost of a long queue: the longer it is, the less often it is scanned
         if not self.held or now - self.held_scanned_at < HELD_SCAN_MS_PER_JOB * len(self.held):
@@ -587,7 +587,7 @@
         # guards against cold workers that get nothing where a share is below a job: then one job at a time
         interval = work * self.settings.cold_window_ms / max(COLD_LARGE_JOB_LOAD * capacity, 1e-9)
         if worker.large_job_since is None:
-            # drawn once, lest the wait of a large job lets a small one through early
+            # drawn once: else the wait of a large job would let a small one through early
             worker.large_job_since, worker.large_job_delay = self.now, self.rng.random()
         return self.now >= worker.large_job_since + worker.large_job_delay * interval
 
