--- a/benchmarks/fleet_state.py
+++ b/benchmarks/fleet_state.py
@@ -184,7 +184,7 @@
                 for i, one in enumerate(self.made):
                     bad = self.state.shared[i].bad_workers(self.state.clock(i))
                     self.wrong |= bad - self.BAD
-                    self.act(i, now, one.handle(now, io.SharedState(bad_workers=frozenset(bad))))
+                    self.act(i, now, one.handle(now, io.SharedStateUpdate(bad_workers=frozenset(bad))))
         return self
 
 
--- a/molespur/fleet/uses.py
+++ b/molespur/fleet/uses.py
@@ -13,7 +13,7 @@
 
 import xxhash
 
-from ..interface import ColdUsage, Outcome, ProbeEnded, SharedState
+from ..interface import ColdUsage, Outcome, ProbeEnded, SharedStateUpdate
 from ..net.counters import Counters
 from ..net.failure import Served
 from . import shared
@@ -91,7 +91,7 @@
         self.machine: shared.SharedState | None = None
         self.class_names = [c.name for c in host.settings.classes]  # shed fractions are in this order
         self._cold: dict[str, tuple[float, bool]] = {}  # worker -> (its part as sent, sent to since then)
-        self._delivered = SharedState()
+        self._delivered = SharedStateUpdate()
         self._counted: dict[str, int] = {}  # counter -> its value at the last `take_counts`
         self._loads: Counter = Counter()  # (class, how its jobs ended)
         self._limits: dict[str, GradientLimit] = {}  # by worker, where connections are shared
@@ -157,11 +157,13 @@
         self.host.shared_state_valid_until = now + self.fresh_ms
         watched = machine.watching.watched if machine.watching is not None else None
         shed = dict(zip(self.class_names, machine.shed_fractions(now), strict=False))
-        news = SharedState(parts, frozenset(machine.bad_workers(now)), self._retries(now), watched, shed)
-        if parts or news != self._delivered:
-            self._delivered = news
+        update = SharedStateUpdate(
+            parts, frozenset(machine.bad_workers(now)), self._retries(now), watched, shed
+        )
+        if parts or update != self._delivered:
+            self._delivered = update
             self._cold = {uid: part for uid, part in self._cold.items() if uid in parts}
-            self.host.deliver(news)
+            self.host.deliver(update)
 
     def _update_listed(self) -> None:
         if self.cluster.listed.keys() != self._listed:
--- a/molespur/interface.py
+++ b/molespur/interface.py
@@ -222,7 +222,7 @@
 
 
 @dataclass(slots=True)
-class SharedState:
+class SharedStateUpdate:
     """State that the schedulers share, which holds until the next event of this type.
 
     `cold_shares`: for each cold worker whose budget is shared, the part of it for this dispatcher (0 to 1).
@@ -362,7 +362,7 @@
 
 @dataclass(slots=True)
 class ColdUsage:
-    """Reply to `SharedState` for one cold worker, in shares of its whole budget for a window.
+    """Reply to `SharedStateUpdate` for one cold worker, in shares of its whole budget for a window.
 
     `sent_share`: what this dispatcher has sent lately.  `requested_share`: the largest share that its jobs
     would have needed since the last reply.
@@ -383,5 +383,5 @@
 Event = (
     Started | SettingsChanged | FleetUpdate | Submitted | StreamBegun | Progressed | AttemptEnded | ClientGone
 )
-Event |= TimerFired | ProbeEnded | SharedState
+Event |= TimerFired | ProbeEnded | SharedStateUpdate
 Action = Send | Cancel | Refuse | Fail | SetTimer | Watch | Probe | ColdUsage
--- a/molespur/logic.py
+++ b/molespur/logic.py
@@ -66,14 +66,14 @@
         # recent jobs by key; needed kind -> (headroom for cheaper jobs to leave, in runs; worth of late jobs)
         self.key_jobs, self.key_total, self.margins = {}, 0.0, {}
         self.arrivals, self.started_at, self.held_scanned_at, self.has_reports = 0, 0.0, 0.0, False
-        self.shared = interface.SharedState()
+        self.shared = interface.SharedStateUpdate()
         self.handlers = {
             interface.Submitted: self._on_submitted, interface.AttemptEnded: self._on_attempt_ended,
             interface.Progressed: self._on_progressed, interface.TimerFired: self.timers.on_timer,
             interface.FleetUpdate: self._on_fleet_update, interface.ClientGone: self._on_client_gone,
             interface.ProbeEnded: self._on_probe_ended, interface.StreamBegun: self._on_stream_begun,
             interface.Started: self._on_started, interface.SettingsChanged: self._on_settings_changed,
-            interface.SharedState: self._on_shared_state,
+            interface.SharedStateUpdate: self._on_shared_state,
         }  # fmt: skip
 
     def _on_settings_changed(self, event):
--- a/molespur/standins/virtual_site.py
+++ b/molespur/standins/virtual_site.py
@@ -286,11 +286,11 @@
         if int(self.now) % int(self.REFRESH_MS) < self.STEP_MS:
             for i, one in enumerate(self.state.shared):
                 if one is not None:
-                    self.tell(i, self.news(i, one, self.state.clock(i)))
+                    self.tell(i, self.build_update(i, one, self.state.clock(i)))
         self.at(self.now + self.STEP_MS, self._step)
 
-    def news(self, i: int, one: shared.SharedState, now: float) -> io.SharedState:
-        """What scheduler i's shared state tells its module."""
+    def build_update(self, i: int, one: shared.SharedState, now: float) -> io.SharedStateUpdate:
+        """The update of scheduler i's shared state for its decision module."""
         retries = float("inf")
         if one.retries is not None:
             retries = one.retries.available(now)
@@ -298,7 +298,7 @@
                 one.retries.record_denial()
             self.failing[i] = False
         names = [c.name for c in self.settings.classes]
-        return io.SharedState(
+        return io.SharedStateUpdate(
             bad_workers=frozenset(one.bad_workers(now)), retries_left=retries,
             probe_workers=one.watching.watched if one.watching is not None else None,
             shed_shares=dict(zip(names, one.shed_fractions(now), strict=False)),
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -19,7 +19,7 @@
     ProbeEnded,
     Refuse,
     Send,
-    SharedState,
+    SharedStateUpdate,
     Submitted,
     Tenant,
     TimerFired,
@@ -561,10 +561,10 @@
         state.mean = d.mean_run = 100.0  # sends count for at least their class's mean
     limit = d._cold_budget(d.workers["new"])[1]
     shares = {} if share is None else {"new": share}
-    (usage,) = actions_of(d.handle(20.0, SharedState(shares)), ColdUsage) or (None,)
+    (usage,) = actions_of(d.handle(20.0, SharedStateUpdate(shares)), ColdUsage) or (None,)
     sent = send_cold_work(d)
     assert expected_share * limit - 200.0 < sent <= expected_share * limit + 1e-6
-    (usage,) = actions_of(d.handle(40.0, SharedState({"new": 0.5})), ColdUsage)
+    (usage,) = actions_of(d.handle(40.0, SharedStateUpdate({"new": 0.5})), ColdUsage)
     assert usage.worker == "new" and usage.sent_share == pytest.approx(sent / limit, rel=0.01)
     assert usage.requested_share > expected_share - 0.01, "more was requested than it got"
 
@@ -572,11 +572,11 @@
 def test_a_worker_that_schedulers_judge_bad_is_ejected_and_then_on_probation():
     d = make_dispatcher()
     update_fleet(d, entry("w0"), entry("w1"), entry("w2"))
-    d.handle(5.0, SharedState(bad_workers=frozenset({"w1", "unknown"})))
+    d.handle(5.0, SharedStateUpdate(bad_workers=frozenset({"w1", "unknown"})))
     assert d.ejected_workers(6.0) == {"w1"} and d.workers["w1"].probation
-    d.handle(7.0, SharedState(bad_workers=frozenset({"w1"})))
+    d.handle(7.0, SharedStateUpdate(bad_workers=frozenset({"w1"})))
     assert d.workers["w1"].ejections == 1, "reported again during its ejection: not ejected twice"
-    d.handle(8.0, SharedState(bad_workers=frozenset({"w0", "w1", "w2"})))
+    d.handle(8.0, SharedStateUpdate(bad_workers=frozenset({"w0", "w1", "w2"})))
     assert d.ejected_workers(9.0) == set(), "none, since too many would be ejected"
 
 
@@ -584,7 +584,7 @@
 def test_without_retries_left_only_an_attempt_that_was_never_sent_is_repeated(outcome):
     d = make_dispatcher()
     update_fleet(d, entry("w0"), entry("w1"), entry("w2"))
-    d.handle(5.0, SharedState(retries_left=0.0))
+    d.handle(5.0, SharedStateUpdate(retries_left=0.0))
     submit(d, 7, now=10.0)
     actions = end_attempt(d, 7, outcome, 20.0)
     assert bool(actions_of(actions, Send)) is (outcome is Outcome.MOOT)
