--- a/molespur/replacement/succession.py
+++ b/molespur/replacement/succession.py
@@ -82,9 +82,9 @@
         if seen.succeeded:
             # those that serve stand in the order of their starts, so the latest is the last of them
             steer(self.socket, seen.others)
-            self.service.tell(ProcessEvent.SUCCESSOR)
+            self.service.handle(ProcessEvent.SUCCESSOR)
         elif self._seen is not None and self._seen[1]:
-            self.service.tell(ProcessEvent.SUCCESSOR_GONE)
+            self.service.handle(ProcessEvent.SUCCESSOR_GONE)
         self._seen = now
 
     def _resize(self, others: list[Record]) -> None:
--- a/molespur/scheduler.py
+++ b/molespur/scheduler.py
@@ -11,7 +11,7 @@
 from .interface import Started
 from .lifecycle import ProcessEvent
 from .logic import Dispatcher
-from .net.cluster import Cluster, Placed
+from .net.cluster import Cluster, ListedWorker
 from .net.counters import Counters
 from .net.discovery import Discovery
 from .net.downstream import Downstream
@@ -85,10 +85,10 @@
     def apply_configuration(self, config, settings) -> None:
         """Switch all parts to another configuration in one step, so that none sees a mix of both."""
         self.config = config
-        self.host.retune(settings)
+        self.host.apply_settings(settings)
         self.host.max_streams = min(config.max_open, self._limits()[0])
-        self.upstream.retune(config)
-        self.service.retune(settings)
+        self.upstream.apply_config(config)
+        self.service.apply_settings(settings)
 
     # -- Start and stop --------------------------------------------------------------------------
 
@@ -108,9 +108,9 @@
         self.nursery.start_soon(self.downstream.listen, listener, self.nursery)
         if self.succession is not None:
             self.succession.serving(self.service, listener.socket, self.worker_list)
-        self.service.tell(ProcessEvent.READY)
+        self.service.handle(ProcessEvent.READY)
         try:
-            await self.service.gone(listener)
+            await self.service.wait_closed(listener)
         finally:
             if self.succession is not None:
                 self.succession.close()
@@ -127,7 +127,7 @@
             self.fleet.leave()
         if self.fleet_record is not None:
             self.fleet_record.leave()
-        self.service.tell(ProcessEvent.STOP)
+        self.service.handle(ProcessEvent.STOP)
 
     def counters_line(self) -> str:
         """All counters as one line for the log."""
@@ -143,7 +143,7 @@
         from .operations.calls import Calls
         from .operations.listener import Operations
 
-        calls = Calls(self.service.tell, self.service.stance, self.metrics, self.fleet_lines)
+        calls = Calls(self.service.handle, self.service.serving_state, self.metrics, self.fleet_lines)
         operations = Operations(calls, self.wheel, self.counters)
         listener = await open_listener(self.config.ops, "LB_OPS")
         self.nursery.start_soon(operations.listen, listener, self.nursery)
@@ -154,7 +154,7 @@
 
         if self.fleet is not None:
             self.fleet.publish()
-        gauges = Gauges(self.host.open, *self.cluster.known_and_skipped())
+        gauges = Gauges(self.host.open_streams, *self.cluster.count_listed_and_skipped())
         return figures(self.counters, (c.name for c in self.host.settings.classes), gauges)
 
     # -- The fleet of schedulers -----------------------------------------------------------------
@@ -270,7 +270,7 @@
         try:
             known = msgspec.convert(fields, ClusterList)
             for target in known.targets:
-                Placed.from_target(target, self.clock.from_unix)
+                ListedWorker.from_target(target, self.clock.from_unix)
         except (msgspec.ValidationError, configuration.ConfigError) as error:
             log.warning("replacement.list_refused", why=str(error))
             return
@@ -278,7 +278,7 @@
 
     def worker_list(self) -> dict:
         """The current worker list with its version and source, for a successor."""
-        targets = [configuration.target_of(w.entry, w.address) for w in self.cluster.placed.values()]
+        targets = [configuration.target_of(w.entry, w.address) for w in self.cluster.listed.values()]
         address = getattr(self.source, "address", None)
         return {
             "rev": getattr(self.source, "rev", 0),
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -145,7 +145,7 @@
         for content, named in (("{nonsense", "JSON"), (json.dumps(changed("discovery", "x")), "discovery")):
             path.write_text(content)
             program.send_signal(signal.SIGHUP)
-            assert named in read_to("the running configuration stays")
+            assert named in read_to("keeping the running configuration")
         new = "{}:{}".format(*discovery.getsockname())
         path.write_text(json.dumps(changed("discovery", new) | {"listen": "127.0.0.9:80"}))
         program.send_signal(signal.SIGHUP)
@@ -184,7 +184,7 @@
 @pytest.mark.parametrize("cause", Cause)
 @pytest.mark.parametrize("stage", Stage)
 def test_only_proof_counts_as_an_attempt_that_never_ran(stage, cause):
-    proof = stage < Stage.SENT or cause in (Cause.TURNED_AWAY, Cause.NOT_SENT)
+    proof = stage < Stage.SENT or cause in (Cause.REJECTED, Cause.NOT_SENT)
     never = Failure(stage, cause).outcome in NEVER_RAN
     assert never == (proof and cause is not Cause.CANCELLED)
 
