--- a/molespur/system/rpc/channel.py
+++ b/molespur/system/rpc/channel.py
@@ -1,8 +1,8 @@
 """Channels between processes of the fleet: length-prefixed protobuf frames over TCP.
 
-A `Channel` is one connection, from either side; both sides judge it by round trips.  A `Dialer` keeps one
-open to an address and dials again after it breaks.  Frames may be lost with a connection; whoever needs an
-answer sends again.
+A `Channel` is one connection, seen from either side; both sides check it by round trips.  A `Dialer` keeps
+a channel open to one address and reconnects when it is lost.  Frames may be lost with a connection; a sender
+that needs a reply has to send its frame again.
 """
 
 import asyncio
@@ -14,48 +14,52 @@
 
 from . import molespur_pb2 as pb
 from . import traffic
-from .liveness import QUIET_S, ChannelLiveness, Step
+from .liveness import PING_AFTER_IDLE_S, ChannelLiveness, LivenessAction
 
 LENGTH_BYTES = 4
 MAX_FRAME_BYTES = 24 << 20
-MAX_BUFFERED_BYTES = 32 << 20  # a peer that lets more than this wait is cut off
-USER_TIMEOUT_MS = 1500  # a peer behind a cut says nothing: bytes unacknowledged this long end the connection
-CONNECT_TIMEOUT_S = 0.5  # a machine without power says nothing; a lost packet comes again much later
-REDIAL_S = (0.1, 0.2, 0.4, 0.5)
-STALE_ATTEMPT_S = 0.1  # an attempt this old to a peer that has been heard since gets no answer any more
+MAX_BUFFERED_BYTES = 32 << 20  # a connection with more unsent bytes than this is aborted
+TCP_USER_TIMEOUT_MS = (
+    1500  # ends a connection whose bytes are unacknowledged this long, as in a network partition
+)
+CONNECT_TIMEOUT_S = 0.5  # a powered-off host does not refuse; TCP retransmits a lost SYN much later than this
+REDIAL_DELAYS_S = (0.1, 0.2, 0.4, 0.5)  # by the number of failed attempts; the last one repeats
+STALE_ATTEMPT_S = 0.1  # older attempts to a peer that has since come up will not succeed any more
 
 
 class Channel(asyncio.Protocol):
-    """One connection that carries frames.  `on_frame` and `on_lost` are called in the event loop."""
+    """A connection that carries frames.  `on_frame` and `on_lost` are called in the event loop."""
 
     def __init__(self, on_frame: Callable, on_lost: Callable):
         self.on_frame, self.on_lost = on_frame, on_lost
         self.transport: asyncio.Transport | None = None
         self._received = bytearray()
         self._outgoing: list[bytes] = []
-        self.label = ""  # who is at the other end, once it has said so
-        self.error: Exception | None = None  # why the connection was lost; None: it was closed in order
+        self.label = ""  # the peer's name or address; empty until it is known
+        self.error: Exception | None = None  # why the connection was lost; None after an orderly close
         self._liveness: ChannelLiveness | None = None
         self._loop: asyncio.AbstractEventLoop | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Set the socket's options, and begin to look for signs of life (asyncio callback)."""
+        """Set the socket options and start the liveness checks (asyncio callback)."""
         self.transport = transport
         self._loop = asyncio.get_running_loop()
         self._liveness = ChannelLiveness(self._loop.time())
-        self._loop.call_later(QUIET_S, self._look)
+        self._loop.call_later(PING_AFTER_IDLE_S, self._check_liveness)
         sock = transport.get_extra_info("socket")
         if sock is not None and hasattr(socket, "TCP_USER_TIMEOUT"):
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
 
     def data_received(self, data: bytes) -> None:
-        """Cut the bytes into frames (asyncio callback)."""
-        self._liveness.heard(self._loop.time())
+        """Split the bytes into frames (asyncio callback)."""
+        self._liveness.record_received(self._loop.time())
         self._received += data
         while len(self._received) >= LENGTH_BYTES:
             length = int.from_bytes(self._received[:LENGTH_BYTES], "big")
             if length > MAX_FRAME_BYTES:
-                logging.warning("rpc frame of %d bytes from %s: connection closed", length, self.label)
+                logging.warning(
+                    "rpc: frame of %d bytes from %s exceeds the limit; closing connection", length, self.label
+                )
                 self.close()
                 return
             end = LENGTH_BYTES + length
@@ -63,38 +67,39 @@
                 return
             frame = bytes(self._received[LENGTH_BYTES:end])
             del self._received[:end]
-            self._take(frame)
+            self._handle_frame(frame)
 
-    def _take(self, data: bytes) -> None:
+    def _handle_frame(self, data: bytes) -> None:
         try:
             frame = pb.Frame.FromString(data)
-        except Exception:  # protobuf's DecodeError has no stable home among its implementations
-            logging.warning("rpc frame from %s can't be read: connection closed", self.label)
+        except Exception:  # protobuf's implementations define DecodeError in different modules
+            logging.warning("rpc: cannot decode frame from %s; closing connection", self.label)
             self.close()
             return
         if frame.HasField("ping") and not frame.ping.sent_at_ms:
-            self.send(pb.Frame(pong=pb.Pong()))  # asked for a sign of life only
+            self.send(pb.Frame(pong=pb.Pong()))  # a liveness check, not a query of the state age
             return
         self.on_frame(self, frame)
 
-    def _look(self) -> None:
-        """Ask a quiet peer for a sign of life; give the channel up where none comes back.
+    def _check_liveness(self) -> None:
+        """Ping an idle peer, and abort the channel when no reply arrives.
 
-        The peer may hear all that is sent here, so what it does elsewhere says nothing of this channel.
+        The peer may still receive everything sent here, so its activity on other channels proves nothing
+        about this one.
         """
         if not self.open:
             return
-        match self._liveness.look(self._loop.time()):
-            case Step.ASK:
+        match self._liveness.next_action(self._loop.time()):
+            case LivenessAction.PING:
                 self.send(pb.Frame(ping=pb.Ping()))
-            case Step.GIVE_UP:
-                logging.info("rpc: channel to %s given up: nothing comes back", self.label or "a caller")
+            case LivenessAction.CLOSE:
+                logging.info("rpc: no reply from %s; aborting channel", self.label or "an unidentified peer")
                 self.abort()
                 return
-        self._loop.call_later(QUIET_S, self._look)
+        self._loop.call_later(PING_AFTER_IDLE_S, self._check_liveness)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Tell the owner (asyncio callback)."""
+        """Notify the owner (asyncio callback)."""
         self.transport, self.error = None, error
         self.on_lost(self)
 
@@ -104,7 +109,10 @@
         return self.transport is not None and not self.transport.is_closing()
 
     def send(self, frame: pb.Frame) -> bool:
-        """Send a frame; frames of one turn of the loop leave in one write.  False: the channel is closed."""
+        """Send a frame; return False if the channel is closed.
+
+        Frames of one event loop iteration go out in one write.
+        """
         if not self.open:
             return False
         if not self._outgoing:
@@ -120,16 +128,16 @@
             return
         self.transport.write(data)
         if self.transport.get_write_buffer_size() > MAX_BUFFERED_BYTES:
-            logging.warning("rpc peer %s does not read: connection closed", self.label)
+            logging.warning("rpc: send buffer to %s is full; aborting connection", self.label)
             self.transport.abort()
 
     def abort(self) -> None:
-        """End the connection at once; what has not been sent is dropped."""
+        """Close the connection at once and drop the bytes that have not been sent."""
         if self.transport is not None:
             self.transport.abort()
 
     def close(self) -> None:
-        """Close the connection."""
+        """Close the connection after sending the frames that are queued."""
         if self.transport is not None:
             self._flush()
             if self.transport is not None:
@@ -147,9 +155,9 @@
         on_lost=None,
         bind_ip: str = "",
     ):
-        """`bind_ip`: the address that connections come from; the system's choice where it is empty."""
+        """`bind_ip` is the source address of the connections; empty: the operating system chooses."""
         self.address, self.on_frame, self.on_open, self.on_lost = address, on_frame, on_open, on_lost
-        self._origin = {"local_addr": (bind_ip, 0)} if bind_ip else {}
+        self._source_address = {"local_addr": (bind_ip, 0)} if bind_ip else {}
         self.channel: Channel | None = None
         self._stopped = False
         self._peer_alive = asyncio.Event()
@@ -157,19 +165,19 @@
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def send(self, frame: pb.Frame) -> bool:
-        """Send a frame if the channel is open now."""
+        """Send a frame; return False if no channel is open now."""
         return self.channel is not None and self.channel.send(frame)
 
     def peer_alive(self) -> None:
-        """The peer has been heard of on another channel: dial it now where none is open yet.
+        """Dial now if no channel is open: another channel has shown that the peer is up.
 
-        An attempt that began while its machine was down would wait in vain until it times out.
+        An attempt that began while the peer's machine was down would otherwise block until it times out.
         """
         if self.channel is None and asyncio.get_running_loop().time() - self._attempt_at > STALE_ATTEMPT_S:
             self._peer_alive.set()
 
     def stop(self) -> None:
-        """Close the channel and dial no more."""
+        """Close the channel and stop dialing."""
         self._stopped = True
         self._task.cancel()
         if self.channel is not None:
@@ -185,11 +193,11 @@
             try:
                 channel = await self._connect(host, int(port), lost)
             except (OSError, TimeoutError):
-                delay = REDIAL_S[min(failures, len(REDIAL_S) - 1)]
+                delay = REDIAL_DELAYS_S[min(failures, len(REDIAL_DELAYS_S) - 1)]
                 failures += 1
-                await self._pause(delay)
+                await self._wait_to_redial(delay)
                 continue
-            logging.info("rpc: channel to %s open after %d failed tries", self.address, failures)
+            logging.info("rpc: channel to %s open after %d failed attempts", self.address, failures)
             failures = 0
             channel.label = self.address
             self.channel = channel
@@ -200,37 +208,39 @@
             self.channel = None
             if self.on_lost is not None:
                 self.on_lost(channel)
-            await self._pause(REDIAL_S[0])
+            await self._wait_to_redial(REDIAL_DELAYS_S[0])
 
     async def _connect(self, host: str, port: int, lost: asyncio.Event) -> Channel:
-        """Open a channel.  Raises OSError; TimeoutError for a silent peer, or after `peer_alive`."""
+        """Open a channel.  Raises OSError, or TimeoutError on a timeout or after a call to `peer_alive`."""
         loop = asyncio.get_running_loop()
         dial = loop.create_connection(
-            lambda: Channel(self.on_frame, lambda _channel: lost.set()), host, port, **self._origin
+            lambda: Channel(self.on_frame, lambda _channel: lost.set()), host, port, **self._source_address
         )
-        made, heard = loop.create_task(dial), loop.create_task(self._peer_alive.wait())
+        attempt, peer_alive = loop.create_task(dial), loop.create_task(self._peer_alive.wait())
         try:
-            await asyncio.wait((made, heard), timeout=CONNECT_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
-            if not made.done():
+            await asyncio.wait(
+                (attempt, peer_alive), timeout=CONNECT_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED
+            )
+            if not attempt.done():
                 raise TimeoutError
-            _transport, channel = made.result()
+            _transport, channel = attempt.result()
             return channel
         except asyncio.CancelledError:
-            made.add_done_callback(_close_unused)
+            attempt.add_done_callback(_close_unused)
             raise
         finally:
-            made.cancel()
-            heard.cancel()
+            attempt.cancel()
+            peer_alive.cancel()
 
-    async def _pause(self, seconds: float) -> None:
-        """Wait before the next attempt, but not once the peer has been heard of."""
+    async def _wait_to_redial(self, seconds: float) -> None:
+        """Wait before the next attempt; end early once the peer is known to be up."""
         with suppress(TimeoutError):
             async with asyncio.timeout(seconds):
                 await self._peer_alive.wait()
 
 
-def _close_unused(made: asyncio.Task) -> None:
-    """Close the channel of an attempt that nobody waits for any more."""
-    if not made.cancelled() and made.exception() is None:
-        _transport, channel = made.result()
+def _close_unused(attempt: asyncio.Task) -> None:
+    """Close the channel that a connection attempt opened after its dialer was stopped."""
+    if not attempt.cancelled() and attempt.exception() is None:
+        _transport, channel = attempt.result()
         channel.close()
--- a/molespur/system/rpc/liveness.py
+++ b/molespur/system/rpc/liveness.py
@@ -1,39 +1,43 @@
-"""Whether a channel still works both ways: only a round trip tells.  Pure; times are seconds.
+"""Decides whether a channel still carries frames in both directions.  No I/O; times are in seconds.
 
-A peer whose answers are lost goes on hearing, and a connection whose window is full neither breaks nor moves.
-Neither the kernel's time-out for unacknowledged bytes nor frames that come some other way notice it.
+Only a round trip proves it.  A peer whose replies are lost still receives everything sent to it, and
+a connection whose send window is full neither breaks nor makes progress.  The kernel's timeout for
+unacknowledged bytes does not detect either case, nor do frames that arrive over another channel.
 """
 
 from enum import Enum
 
-QUIET_S = 0.3  # nothing has come for this long: ask
-ANSWER_S = 1.0  # and no answer for this long: the channel is given up
+PING_AFTER_IDLE_S = 0.3  # ping a peer from which nothing has been received for this long
+REPLY_TIMEOUT_S = 1.0  # close the channel when nothing is received for this long after the ping
 
 
-class Step(Enum):
-    """What is to be done about a channel now."""
+class LivenessAction(Enum):
+    """What the owner of a channel has to do now."""
 
-    NOTHING = "nothing"
-    ASK = "ask"
-    GIVE_UP = "give up"
+    NONE = "none"
+    PING = "ping"
+    CLOSE = "close"
 
 
 class ChannelLiveness:
-    """One channel's signs of life."""
+    """Tracks when one channel last received bytes, and the ping that is still unanswered."""
 
     def __init__(self, now: float):
-        self._heard_at = now
-        self._asked_at: float | None = None
-
-    def heard(self, now: float) -> None:
-        """Bytes have come."""
-        self._heard_at, self._asked_at = now, None
-
-    def look(self, now: float) -> Step:
-        """The step that is due.  A process that stood still reads first what had come, and then looks."""
-        if self._asked_at is not None:
-            return Step.GIVE_UP if now - self._asked_at > ANSWER_S else Step.NOTHING
-        if now - self._heard_at < QUIET_S:
-            return Step.NOTHING
-        self._asked_at = now
-        return Step.ASK
+        self._last_received_at = now
+        self._pinged_at: float | None = None
+
+    def record_received(self, now: float) -> None:
+        """Record that bytes have arrived; any bytes answer a ping."""
+        self._last_received_at, self._pinged_at = now, None
+
+    def next_action(self, now: float) -> LivenessAction:
+        """Return the action that is due.
+
+        After a stall of this process, bytes that arrived meanwhile must be recorded before this is called.
+        """
+        if self._pinged_at is not None:
+            return LivenessAction.CLOSE if now - self._pinged_at > REPLY_TIMEOUT_S else LivenessAction.NONE
+        if now - self._last_received_at < PING_AFTER_IDLE_S:
+            return LivenessAction.NONE
+        self._pinged_at = now
+        return LivenessAction.PING
--- a/tests/system/test_channel_liveness.py
+++ b/tests/system/test_channel_liveness.py
@@ -1,13 +1,9 @@
-"""A channel whose peer hears and is not heard is given up, so that it comes back once the link does.
+"""A channel that carries frames in one direction only is closed, so that it can be opened anew.
 
-The failure behind this test: for seven seconds nothing came back from one control-plane process to the
-others, not even acknowledgements of bytes. The link healed, and the process stayed cut off: its leader
-had an open connection to it whose window was full, which neither broke nor moved any more. It lacked
-300 changes until another leader was elected, eight seconds later.
-
-Evidence: both ends' logs. The process itself had lost its channels after 1,500 ms and opened new ones
-at the heal; the leader's channel to it never was lost ("rpc: channel to ... lost" is missing there, and
-nothing came over it).
+The failure: for seven seconds nothing arrived from one control-plane process at the others, not even TCP
+acknowledgements. The process lost its own channels after 1,500 ms and reopened them when the partition
+healed. The leader's connection to it had a full send window and neither broke nor made progress, so the
+process missed 300 changes until another leader was elected, eight seconds later.
 """
 
 import asyncio
@@ -17,11 +13,11 @@
 
 from molespur.system.rpc.channel import Channel, Dialer
 
-LONGEST_S = 2.0
+MAX_DETECTION_S = 2.0
 
 
 class HalfOpenTransport:
-    """A connection that takes bytes for ever and brings none."""
+    """A connection that accepts all bytes and never delivers any."""
 
     def __init__(self):
         self.closed = False
@@ -30,7 +26,7 @@
         return self.closed
 
     def write(self, _data):
-        """Taken, and never answered."""
+        """Discard the bytes."""
 
     def get_write_buffer_size(self):
         return 0
@@ -59,7 +55,7 @@
         return transport, protocol
 
 
-def test_a_channel_from_which_nothing_comes_back_is_dialled_anew(monkeypatch):
+def test_a_channel_that_receives_nothing_is_closed_and_redialled(monkeypatch):
     loop = VirtualLoop()
     network = Network(loop)
     monkeypatch.setattr(loop, "create_connection", network.create_connection)
@@ -72,28 +68,28 @@
     loop.run_until_complete(scenario())
     loop.close()
     gaps = [later - earlier for earlier, later in zip(network.opened, network.opened[1:], strict=False)]
-    assert gaps and max(gaps) <= LONGEST_S, network.opened
+    assert gaps and max(gaps) <= MAX_DETECTION_S, network.opened
 
 
-# -- The side that was dialled --------------------------------------------------------------------------
+# -- The accepting side ---------------------------------------------------------------------------------
 
 
 class LinkedTransport(HalfOpenTransport):
-    """One end of a connection whose bytes arrive a little later at the other one, while that hears."""
+    """One end of a connection; its bytes reach the other end after a delay while `peer_receives`."""
 
     DELAY_S = 0.02
 
     def __init__(self, loop):
         super().__init__()
-        self.loop, self.peer, self.peer_hears = loop, None, True
+        self.loop, self.peer, self.peer_receives = loop, None, True
 
     def write(self, data):
-        if self.peer_hears:
+        if self.peer_receives:
             self.loop.call_later(self.DELAY_S, self.peer.data_received, data)
 
 
 def linked_channels(loop, lost):
-    """Two ends of one connection; which of them were lost is noted."""
+    """Two ends of one connection; appends the name and time of each end that is lost to `lost`."""
     ends = []
     for name in ("dialled", "accepted"):
         channel = Channel(lambda *_: None, lambda _channel, name=name: lost.append((name, loop.time())))
@@ -110,8 +106,8 @@
     return ends
 
 
-def test_an_accepted_channel_that_falls_silent_is_given_up():
-    """The failure: bytes that its peer never answers kept it open until the kernel gave up, if ever."""
+def test_an_accepted_channel_that_receives_nothing_is_closed():
+    """Without the check, the channel stays open until the kernel times out, if it ever does."""
     loop, lost = VirtualLoop(), []
 
     async def scenario():
@@ -123,10 +119,10 @@
 
     loop.run_until_complete(scenario())
     loop.close()
-    assert len(lost) == 1 and lost[0] <= LONGEST_S
+    assert len(lost) == 1 and lost[0] <= MAX_DETECTION_S
 
 
-def test_two_quiet_ends_that_hear_each_other_keep_their_channel():
+def test_an_idle_channel_stays_open():
     loop, lost = VirtualLoop(), []
 
     async def scenario():
@@ -138,18 +134,18 @@
     assert not lost
 
 
-@pytest.mark.parametrize("deaf", (0, 1))
-def test_both_ends_give_up_a_channel_that_brings_nothing_one_way(deaf):
-    """The end that still hears is not answered either, so it gives the channel up as well."""
+@pytest.mark.parametrize("sender", (0, 1))
+def test_both_ends_close_a_channel_that_is_broken_in_one_direction(sender):
+    """The end that still receives gets no replies to its pings, so it closes the channel as well."""
     loop, lost = VirtualLoop(), []
 
     async def scenario():
         ends = linked_channels(loop, lost)
         await asyncio.sleep(5.0)
-        ends[deaf][1].peer_hears = False
-        await asyncio.sleep(LONGEST_S + 1.0)
+        ends[sender][1].peer_receives = False
+        await asyncio.sleep(MAX_DETECTION_S + 1.0)
 
     loop.run_until_complete(scenario())
     loop.close()
     assert {name for name, _ in lost} == {"dialled", "accepted"}
-    assert all(5.0 < at <= 5.0 + LONGEST_S for _, at in lost), lost
+    assert all(5.0 < at <= 5.0 + MAX_DETECTION_S for _, at in lost), lost
--- a/tests/system/test_dialer.py
+++ b/tests/system/test_dialer.py
@@ -1,4 +1,4 @@
-"""When a dialer tries again: attempts that hang, pauses between them, and a peer heard of meanwhile."""
+"""When a dialer retries: hanging attempts, delays between attempts, and a peer known to be up."""
 
 import asyncio
 
@@ -12,29 +12,29 @@
 
 
 class Network:
-    """Stands for the loop: each attempt to connect ends as the next outcome says, later ones as the last."""
+    """Replaces the loop's `create_connection`: takes one outcome per attempt; the last one repeats."""
 
     def __init__(self, *outcomes):
         self.outcomes, self.attempts = list(outcomes), 0
-        self.tried = asyncio.Event()
+        self.attempted = asyncio.Event()
         self.on_attempt = lambda: None
 
     async def create_connection(self, factory, _host, _port):
         self.attempts += 1
-        self.tried.set()
+        self.attempted.set()
         self.on_attempt()
         outcome = self.outcomes.pop(0) if len(self.outcomes) > 1 else self.outcomes[0]
         if outcome == "hang":
             await asyncio.Event().wait()
         if outcome == "refuse":
             raise ConnectionRefusedError
-        made = factory()
-        made.transport = self.made = Transport()
-        return made.transport, made
+        channel = factory()
+        channel.transport = self.transport = Transport()
+        return channel.transport, channel
 
 
 class Transport:
-    """An open connection that nothing comes from."""
+    """An open connection that never delivers any bytes."""
 
     def __init__(self):
         self.closed = False
@@ -43,7 +43,7 @@
         return self.closed
 
     def write(self, _data):
-        """Bytes go nowhere."""
+        """Discard the bytes."""
 
     def get_write_buffer_size(self):
         return 0
@@ -55,13 +55,13 @@
 def dialer_test(monkeypatch, scenario, *outcomes):
     async def prepared():
         monkeypatch.setattr(channels, "CONNECT_TIMEOUT_S", LONG_S)
-        monkeypatch.setattr(channels, "REDIAL_S", (LONG_S,))
+        monkeypatch.setattr(channels, "REDIAL_DELAYS_S", (LONG_S,))
         monkeypatch.setattr(channels, "STALE_ATTEMPT_S", 0.0)
         network = Network(*outcomes)
         monkeypatch.setattr(asyncio.get_running_loop(), "create_connection", network.create_connection)
         opened = asyncio.Event()
         dialer = Dialer("10.0.0.1:7000", lambda *_: None, lambda _channel: opened.set())
-        await network.tried.wait()
+        await network.attempted.wait()
         await settle()
         try:
             await scenario(dialer, network, opened)
@@ -72,13 +72,13 @@
 
 
 async def settle():
-    """Let everything that is due in this moment happen."""
+    """Run the callbacks and tasks that are ready."""
     for _ in range(20):
         await asyncio.sleep(0)
 
 
 @pytest.mark.parametrize("first", ["hang", "refuse"])
-def test_a_peer_that_is_heard_of_is_dialled_at_once(monkeypatch, first):
+def test_a_peer_that_is_known_to_be_up_is_dialled_at_once(monkeypatch, first):
     async def scenario(dialer, network, opened):
         assert dialer.channel is None and network.attempts == 1
         dialer.peer_alive()
@@ -88,7 +88,7 @@
     dialer_test(monkeypatch, scenario, first, "open")
 
 
-def test_an_attempt_that_is_young_is_not_broken_off(monkeypatch):
+def test_a_recent_attempt_is_not_cancelled(monkeypatch):
     async def scenario(dialer, network, _opened):
         monkeypatch.setattr(channels, "STALE_ATTEMPT_S", LONG_S)
         dialer.peer_alive()
@@ -98,7 +98,7 @@
     dialer_test(monkeypatch, scenario, "hang", "open")
 
 
-def test_a_peer_that_is_reached_is_not_dialled_again(monkeypatch):
+def test_a_connected_peer_is_not_dialled_again(monkeypatch):
     async def scenario(dialer, network, opened):
         await opened.wait()
         dialer.peer_alive()
@@ -108,15 +108,15 @@
     dialer_test(monkeypatch, scenario, "open")
 
 
-def test_what_was_heard_before_a_channel_opened_does_not_count_for_the_next_attempt(monkeypatch):
+def test_peer_alive_before_a_channel_opens_does_not_affect_the_next_attempt(monkeypatch):
     async def scenario(dialer, network, opened):
         dialer.peer_alive()
         await opened.wait()
         dialer.channel.connection_lost(None)
         await settle()
-        assert network.attempts == 2, "it rests before it dials again"
+        assert network.attempts == 2, "the dialer must wait before the third attempt"
 
-    monkeypatch.setattr(channels, "REDIAL_S", (LONG_S,))
+    monkeypatch.setattr(channels, "REDIAL_DELAYS_S", (LONG_S,))
     dialer_test(monkeypatch, scenario, "hang", "open", "hang")
 
 
@@ -125,12 +125,12 @@
         network.on_attempt = dialer.stop
         dialer.peer_alive()
         await settle()
-        assert network.attempts == 2 and network.made.closed
+        assert network.attempts == 2 and network.transport.closed
 
     dialer_test(monkeypatch, scenario, "refuse", "open")
 
 
-def test_a_dialer_that_is_stopped_closes_its_channel(monkeypatch):
+def test_a_stopped_dialer_closes_its_channel(monkeypatch):
     async def scenario(dialer, _network, opened):
         await opened.wait()
         transport = dialer.channel.transport
