--- a/molespur/system/control_plane/calls.py
+++ b/molespur/system/control_plane/calls.py
@@ -204,7 +204,7 @@
         leader = self.host.leader(CONFIGURATION)
         if leader is None:
             raise FleetError(ErrorKind.NO_LEADER, CONFIGURATION)
-        reply = await self.peers.call(leader.rpc_address, IS_LEADER, CONFIGURATION, answer_s=REDIRECT_S)
+        reply = await self.peers.call(leader.rpc_address, IS_LEADER, CONFIGURATION, timeout_s=REDIRECT_S)
         if reply.status != OK:
             raise FleetError(ErrorKind.NO_LEADER, CONFIGURATION)
         return leader.control_address
--- a/molespur/system/control_plane/role.py
+++ b/molespur/system/control_plane/role.py
@@ -130,7 +130,7 @@
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
             case "reply":
-                self.peer_calls.replied(channel.label, frame.reply)
+                self.peer_calls.handle_reply(channel.label, frame.reply)
             case "ping":
                 channel.send(pb.Frame(pong=self.feed.pong(channel, frame.ping)))
             case "leave_request":
--- a/tests/system/mutations/breaks.py
+++ b/tests/system/mutations/breaks.py
@@ -236,7 +236,7 @@
           "        sock",
           (TESTS + "test_channel_liveness.py",)),
     Break("a redirect to a leader that has not confirmed it", "molespur/system/control_plane/calls.py",
-          "reply = await self.peers.call(leader.rpc_address, IS_LEADER, CONFIGURATION, answer_s=REDIRECT_S)",
+          "reply = await self.peers.call(leader.rpc_address, IS_LEADER, CONFIGURATION, timeout_s=REDIRECT_S)",
           "reply = pb.Reply(status=OK)", REDIRECT_TESTS),
     Break("a leader that confirms its role without a majority", "molespur/system/control_plane/calls.py",
           "            self._check_in_touch(call.subject)\n", "            pass\n",
