--- a/molespur/system/rpc/__init__.py
+++ b/molespur/system/rpc/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between the processes of the fleet: protobuf, framing, and links that reconnect."""
+"""RPC between the processes of the fleet: protobuf messages, framing, and channels that reconnect."""
--- a/molespur/system/rpc/traffic.py
+++ b/molespur/system/rpc/traffic.py
@@ -1,4 +1,4 @@
-"""Counts of what this process has sent to others by RPC, for its figures."""
+"""Counters of the RPC frames and bytes that this process has sent, for its metrics."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -8,22 +8,22 @@
 
 @dataclass(slots=True)
 class SentTraffic:
-    """Frames and their bytes so far, by kind of message."""
+    """Numbers of frames and bytes sent so far, by kind of message."""
 
     frames: Counter[str] = field(default_factory=Counter)
     bytes: Counter[str] = field(default_factory=Counter)
 
     def count(self, kind: str, size: int) -> None:
-        """A frame of so many bytes goes out."""
+        """Count one sent frame of `size` bytes."""
         self.frames[kind] += 1
         self.bytes[kind] += size
 
 
-sent = SentTraffic()  # of this process
+sent = SentTraffic()  # totals of this process
 
 
 def metrics() -> list[Metric]:
-    """The counts as figures."""
+    """The counters as metrics."""
     return [
         Metric(
             "rpc_sent_frames",
