--- a/molespur/system/settings/__init__.py
+++ b/molespur/system/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of a process, and the configurations of the operator."""
+"""Process settings and operator configurations."""
--- a/molespur/system/settings/configuration.py
+++ b/molespur/system/settings/configuration.py
@@ -1,7 +1,7 @@
-"""A configuration of the operator: routes, services and limits, read whole and checked.
+"""The operator's configuration: parses and validates routes, services and limits.
 
-A configuration that can't be used raises FleetError with the kind to answer and one line that names the
-field.  Fields that this version does not know are passed over.
+An invalid configuration raises FleetError with the error kind of the response and a single line that names
+the field.  Unknown fields are ignored.
 """
 
 import json
@@ -17,7 +17,7 @@
 
 @define
 class Weight:
-    """A part of a route's requests that goes to one service."""
+    """The weight of one service in a route's traffic split."""
 
     service: str
     weight: float
@@ -25,7 +25,7 @@
 
 @define
 class Route:
-    """Where the requests of a host and path prefix go, and what may be done with them."""
+    """Destination and handling of the requests for a host and path prefix."""
 
     name: str
     host: str
@@ -47,13 +47,13 @@
         return self.type == IDEMPOTENT or (self.type == STREAMING and self.resumable)
 
     def targets(self) -> list[Weight]:
-        """The services that the route's requests go to, each with its weight."""
+        """Return the services that receive the route's requests, with their weights."""
         return list(self.traffic_split) or [Weight(self.service or "", 1.0)]
 
 
 @define
 class Engine:
-    """What the operator tells of a service's model workers."""
+    """Properties of a service's model workers, as the operator configures them."""
 
     capacity: int = 1
     kv_capacity_tokens: float = 0.0
@@ -65,7 +65,7 @@
 
 @define
 class Service:
-    """A group of workers that can take each other's requests."""
+    """A group of interchangeable workers."""
 
     name: str
     health_path: str = "/healthz"
@@ -75,7 +75,7 @@
 
 @define
 class Limits:
-    """What a client may send, and how long it may take."""
+    """Size limits and timeouts for client requests."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 1_048_576
@@ -84,18 +84,18 @@
 
     @property
     def header_timeout_s(self) -> float:
-        """Seconds for a request's headers; without end where the operator says 0."""
+        """Timeout for a request's headers in seconds; infinite if configured as 0."""
         return self.header_timeout_ms / 1000.0 if self.header_timeout_ms > 0 else float("inf")
 
     @property
     def idle_timeout_s(self) -> float:
-        """Seconds of silence that a client may keep; without end where the operator says 0."""
+        """Timeout for an idle client connection in seconds; infinite if configured as 0."""
         return self.idle_timeout_ms / 1000.0 if self.idle_timeout_ms > 0 else float("inf")
 
 
 @define
 class Configuration:
-    """One version of the operator's configuration."""
+    """A version of the operator's configuration."""
 
     version: int
     routes: tuple[Route, ...] = ()
@@ -107,7 +107,7 @@
 
 
 def parse(body: bytes) -> Configuration:
-    """A configuration from its JSON text.  Raises FleetError(UNREADABLE or INVALID_CONFIGURATION)."""
+    """Parse and validate a JSON text.  Raises FleetError(UNREADABLE or INVALID_CONFIGURATION)."""
     try:
         raw = json.loads(body)
     except (ValueError, RecursionError) as error:
@@ -123,28 +123,28 @@
 
 
 def check(configuration: Configuration) -> None:
-    """Raise FleetError(INVALID_CONFIGURATION) for a configuration that can't be put in force."""
+    """Raise FleetError(INVALID_CONFIGURATION) if a configuration cannot be activated."""
     services = {service.name for service in configuration.services}
     _require(len(services) == len(configuration.services), "Services", "a name occurs twice")
     _require(configuration.version > 0, "Version", "must be above 0")
-    places = set()
-    for number, route in enumerate(configuration.routes):
-        where = f"Routes[{number}]"
-        place = (route.host.lower(), route.path_prefix)
+    matches = set()
+    for index, route in enumerate(configuration.routes):
+        key = f"Routes[{index}]"
+        match = (route.host.lower(), route.path_prefix)
         _require(
-            place not in places,
-            where,
+            match not in matches,
+            key,
             f"same Host and PathPrefix as another: {route.host} {route.path_prefix}",
         )
-        places.add(place)
-        _require(route.timeout_ms > 0, f"{where}.TimeoutMs", "must be above 0")
+        matches.add(match)
+        _require(route.timeout_ms > 0, f"{key}.TimeoutMs", "must be above 0")
         weights = [target.weight for target in route.targets()]
-        _require(all(weight >= 0 for weight in weights), f"{where}.TrafficSplit", "a weight is below 0")
-        _require(sum(weights) > 0, f"{where}.TrafficSplit", "the weights add up to 0")
+        _require(all(weight >= 0 for weight in weights), f"{key}.TrafficSplit", "a weight is below 0")
+        _require(sum(weights) > 0, f"{key}.TrafficSplit", "the weights add up to 0")
         for target in route.targets():
-            _require(target.service in services, f"{where}.Service", f"unknown service {target.service!r}")
+            _require(target.service in services, f"{key}.Service", f"unknown service {target.service!r}")
 
 
-def _require(good: bool, where: str, problem: str) -> None:
-    if not good:
-        raise FleetError(ErrorKind.INVALID_CONFIGURATION, f"{where}: {problem}")
+def _require(is_valid: bool, key: str, problem: str) -> None:
+    if not is_valid:
+        raise FleetError(ErrorKind.INVALID_CONFIGURATION, f"{key}: {problem}")
--- a/molespur/system/settings/position.py
+++ b/molespur/system/settings/position.py
@@ -1,14 +1,17 @@
-"""Where in a file a key stands, for messages that name the line at fault.  YAML, and JSON as a part of it."""
+"""Finds the line of a key in a YAML or JSON file, for error messages."""
 
 import re
 
 import yaml
 
-STEP = re.compile(r"([^.\[\]]+)|\[(\d+)\]")  # a key, or a place in a list: Routes[3].TimeoutMs
+PATH_ELEMENT = re.compile(r"([^.\[\]]+)|\[(\d+)\]")  # a key or a list index, as in Routes[3].TimeoutMs
 
 
 def line_of(text: str, path: str) -> int | None:
-    """The line, from 1, of the deepest part of a path that the text has; None for unreadable text."""
+    """Return the 1-based line of the longest prefix of `path` that exists in the text.
+
+    For text that is not YAML, returns the line of the syntax error, or None if it is unknown.
+    """
     try:
         node = yaml.compose(text, Loader=getattr(yaml, "CSafeLoader", yaml.SafeLoader))
     except yaml.MarkedYAMLError as error:
@@ -18,8 +21,8 @@
     if node is None:
         return None
     line = node.start_mark.line + 1
-    for key, place in STEP.findall(path):
-        found = _child(node, key, place)
+    for key, index in PATH_ELEMENT.findall(path):
+        found = _child(node, key, index)
         if found is None:
             break
         mark, node = found
@@ -27,13 +30,13 @@
     return line
 
 
-def _child(node: yaml.Node, key: str, place: str) -> tuple[yaml.Mark, yaml.Node] | None:
-    """Where a part of a node begins, and the part."""
+def _child(node: yaml.Node, key: str, index: str) -> tuple[yaml.Mark, yaml.Node] | None:
+    """Return the start of a child and the child itself; None if the node has no such child."""
     if isinstance(node, yaml.MappingNode) and key:
         for name, value in node.value:
             if name.value == key:
                 return name.start_mark, value
-    if isinstance(node, yaml.SequenceNode) and place and int(place) < len(node.value):
-        item = node.value[int(place)]
+    if isinstance(node, yaml.SequenceNode) and index and int(index) < len(node.value):
+        item = node.value[int(index)]
         return item.start_mark, item
     return None
--- a/molespur/system/settings/process.py
+++ b/molespur/system/settings/process.py
@@ -1,6 +1,7 @@
-"""Settings of a process: the YAML file that `MOLESPUR_SETTINGS` names, read and checked at start.
+"""Process settings: parses and validates the YAML file that `MOLESPUR_SETTINGS` names.
 
-Unknown keys are skipped.  Errors are `FleetError(BAD_SETTINGS)` with one line that names the key.
+Unknown keys are ignored.  Errors are raised as `FleetError(BAD_SETTINGS)` with a single line that names the
+key.
 """
 
 import re
@@ -20,7 +21,7 @@
 
 @frozen
 class Bounds:
-    """Bounds of the rules that this process must know.  Units are in the names."""
+    """Limits and timeouts that the process has to observe."""
 
     retry_budget_ratio: float = 0.1
     retry_window_s: float = 10.0
@@ -35,7 +36,7 @@
 
 @frozen
 class FaultTolerance:
-    """What may be lost at once with all promises kept."""
+    """Simultaneous failures that the fleet has to tolerate without breaking a guarantee."""
 
     nodes: int = 1
     zones: int = 0
@@ -44,7 +45,7 @@
 
 @frozen
 class ProcessSettings:
-    """Settings of one process, by the names of the file."""
+    """Settings of a process; `wire_name` gives the key of each attribute in the file."""
 
     node_name: str
     ip: str
@@ -64,79 +65,79 @@
 
     @property
     def local_ip(self) -> str:
-        """Where this process is itself: others reach it by `ip`, which may lead through a relay."""
+        """The local address to bind to.  Others connect to `ip`, which may belong to a relay."""
         return self.bind_ip or self.ip
 
     @property
     def rpc_port(self) -> int:
-        """The port on which control-plane processes listen for other processes of the fleet."""
+        """The port on which control-plane processes accept RPC connections."""
         return self.port_range[0]
 
     @property
     def rpc_address(self) -> str:
-        """This process's own address for other processes of the fleet."""
+        """The address at which other processes reach this one by RPC."""
         return f"{self.ip}:{self.rpc_port}"
 
     @property
     def peer_address(self) -> str:
-        """Where a data-plane process takes datagrams of others."""
+        """The address at which a data-plane process receives datagrams from its peers."""
         return f"{self.ip}:{self.port_range[1]}"
 
     def seed_rpc_addresses(self) -> list[str]:
-        """The seeds' addresses for other processes of the fleet: all machines use the same ports."""
+        """Return the RPC addresses of the seed nodes.  All machines use the same port range."""
         return [f"{seed.rpartition(':')[0]}:{self.rpc_port}" for seed in self.seed_nodes]
 
 
-def _numbers(value: Any, _type: type) -> float:
-    """Structure hook: a number that is not a truth value."""
+def _require_number(value: Any, _type: type) -> float:
+    """Structure hook: accepts a number that is not a Boolean."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise ValueError(f"want a number, got {value!r}")
     return value
 
 
-def _text(value: Any, _type: type) -> str:
-    """Structure hook: text, and nothing that only could be turned into it."""
+def _require_string(value: Any, _type: type) -> str:
+    """Structure hook: accepts only strings, without conversion from other types."""
     if not isinstance(value, str):
         raise ValueError(f"want text, got {value!r}")
     return value
 
 
-def _truth(value: Any, _type: type) -> bool:
-    """Structure hook: true or false."""
+def _require_bool(value: Any, _type: type) -> bool:
+    """Structure hook: accepts only Booleans."""
     if not isinstance(value, bool):
         raise ValueError(f"want true or false, got {value!r}")
     return value
 
 
 def wire_name(attribute: str) -> str:
-    """The key that a settings file or a configuration has for an attribute: `node_name` is NodeName there."""
+    """Return the key of an attribute in a settings file or configuration: NodeName for `node_name`."""
     if attribute in LOWER_CASE_KEYS:
         return attribute
     return "".join(word.capitalize() for word in attribute.split("_"))
 
 
 def strict_converter() -> cattrs.Converter:
-    """A converter that skips unknown keys and turns no value into another type."""
+    """Return a converter that ignores unknown keys and does not convert values between types."""
     converter = cattrs.Converter()
     converter.register_structure_hook_factory(has, lambda cls: _structure_by_key(cls, converter))
-    converter.register_structure_hook(float, lambda v, t: float(_numbers(v, t)))
-    converter.register_structure_hook(int, lambda v, t: int(_numbers(v, t)))
-    converter.register_structure_hook(str, _text)
-    converter.register_structure_hook(bool, _truth)
+    converter.register_structure_hook(float, lambda v, t: float(_require_number(v, t)))
+    converter.register_structure_hook(int, lambda v, t: int(_require_number(v, t)))
+    converter.register_structure_hook(str, _require_string)
+    converter.register_structure_hook(bool, _require_bool)
     return converter
 
 
 def _structure_by_key(cls: type, converter: cattrs.Converter):
-    """Structure hook of an attrs class whose attributes have the keys of the wire."""
+    """Return the structure hook of an attrs class; keys are the wire names of its attributes."""
     renamed = {a.name: override(rename=wire_name(a.name)) for a in fields(cls)}
     return make_dict_structure_fn(cls, converter, **renamed)
 
 
 def first_problem(error: BaseException) -> str:
-    """The first leaf of a tree of cattrs errors as one line: what is wrong, then the path of keys to it."""
+    """Return the first leaf of a tree of cattrs errors as one line: path of keys, then problem."""
     lines = cattrs.transform_error(error)
-    problem, at, path = (lines[0] if lines else str(error)).rpartition(" @ $")
-    if not at:
+    problem, separator, path = (lines[0] if lines else str(error)).rpartition(" @ $")
+    if not separator:
         return path
     keys = re.sub(r"\.(\w+)", lambda match: f".{wire_name(match.group(1))}", path)
     return f"{keys.lstrip('.')}: {problem}"
@@ -146,13 +147,13 @@
 
 
 def parse(text: str) -> ProcessSettings:
-    """Settings from the text of a file.  Raises FleetError(BAD_SETTINGS)."""
+    """Parse the text of a settings file.  Raises FleetError(BAD_SETTINGS)."""
     try:
         raw = yaml.load(text, getattr(yaml, "CSafeLoader", yaml.SafeLoader))
     except yaml.YAMLError as error:
         raise FleetError(ErrorKind.BAD_SETTINGS, f"not YAML: {' '.join(str(error).split())}") from error
     if not isinstance(raw, dict):
-        raise FleetError(ErrorKind.BAD_SETTINGS, "the file holds no mapping")
+        raise FleetError(ErrorKind.BAD_SETTINGS, "the file does not contain a mapping")
     try:
         return _CONVERTER.structure(raw, ProcessSettings)
     except (cattrs.BaseValidationError, KeyError, ValueError, TypeError) as error:
@@ -160,7 +161,7 @@
 
 
 def load(environment: dict[str, str]) -> ProcessSettings:
-    """Settings from the file that the environment names.  Raises FleetError(BAD_SETTINGS)."""
+    """Load the settings file that the environment names.  Raises FleetError(BAD_SETTINGS)."""
     path = environment.get(VARIABLE)
     if not path:
         raise FleetError(ErrorKind.BAD_SETTINGS, f"{VARIABLE} is not set")
