--- a/molespur/system/early_listener.py
+++ b/molespur/system/early_listener.py
@@ -1,20 +1,20 @@
-"""A listening socket opened before the libraries of a role are imported.
+"""Opens a listening socket before the libraries of a role are imported.
 
-A start takes about half a second, most of it imports.  Connections that come meanwhile wait in the socket's
-queue in place of being refused, which matters when all schedulers start again at once.
+A start takes about half a second, most of it imports.  Connections that arrive meanwhile wait in the socket's
+accept queue instead of being refused, which matters when all schedulers restart at once.
 """
 
 import socket
 from pathlib import Path
 
-BACKLOG = 1024  # connections that may wait to be accepted
+BACKLOG = 1024  # maximum connections in the accept queue
 _opened: dict[str, socket.socket] = {}
 
 
 def open_early(settings_path: str, listener: str) -> None:
-    """Open the socket that a settings file names for a listener (`Frontend`).
+    """Open the socket of a listener (`Frontend`) at the address given in a settings file.
 
-    Whatever is wrong with the file is left to the check of the settings, which names it.
+    Errors are ignored here: the validation of the settings reports those of the file.
     """
     import yaml
 
@@ -27,20 +27,20 @@
 
 
 def listening(address: str) -> socket.socket:
-    """A socket that listens at HOST:PORT.  Raises OSError or ValueError."""
+    """Return a listening socket for HOST:PORT.  Raises OSError or ValueError."""
     host, _, port = address.rpartition(":")
-    opened = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        opened.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        opened.bind((host, int(port)))
-        opened.listen(BACKLOG)
-        opened.setblocking(False)
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listener.bind((host, int(port)))
+        listener.listen(BACKLOG)
+        listener.setblocking(False)
     except BaseException:
-        opened.close()
+        listener.close()
         raise
-    return opened
+    return listener
 
 
 def take(address: str) -> socket.socket | None:
-    """The socket that was opened for this address, once; None when there is none."""
+    """Return and forget the socket opened early for an address; None if there is none."""
     return _opened.pop(address, None)
