--- a/molespur/system/metrics.py
+++ b/molespur/system/metrics.py
@@ -1,6 +1,6 @@
-"""Figures of a process, and their text in Prometheus' format.
+"""Metrics of a process, and their exposition in the Prometheus text format.
 
-The library is imported with the first question: a start has no time for it.
+The Prometheus library is imported at the first scrape, to keep the start of a process short.
 """
 
 from collections.abc import Iterable, Mapping
@@ -12,7 +12,7 @@
 
 
 class MetricKind(Enum):
-    """What a figure does: counters only rise, gauges go both ways."""
+    """Kind of a metric: counters only increase, gauges go up and down."""
 
     COUNTER = "counter"
     GAUGE = "gauge"
@@ -20,9 +20,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Metric:
-    """One figure, with a value for each set of labels.
+    """A metric, with a value for each set of labels.
 
-    Names carry their unit and no prefix; a counter's has no `_total`, which the format adds.
+    Names include the unit but no prefix.  Counter names omit `_total`, which the library appends.
     """
 
     name: str
@@ -33,27 +33,27 @@
 
 
 def counter(name: str, description: str, value: float) -> Metric:
-    """A counter without labels."""
+    """Return a counter without labels."""
     return Metric(name, MetricKind.COUNTER, description, (), {(): value})
 
 
 def gauge(name: str, description: str, value: float) -> Metric:
-    """A gauge without labels."""
+    """Return a gauge without labels."""
     return Metric(name, MetricKind.GAUGE, description, (), {(): value})
 
 
 def exposition(metrics: Iterable[Metric]) -> bytes:
-    """The text that a Prometheus server scrapes."""
+    """Return the metrics in the text format that a Prometheus server scrapes."""
     from prometheus_client import CollectorRegistry, generate_latest
     from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
     families = {MetricKind.COUNTER: CounterMetricFamily, MetricKind.GAUGE: GaugeMetricFamily}
 
     class Collector:
-        """Hands the figures to the library's registry."""
+        """Provides the metrics to the library's registry."""
 
         def collect(self):
-            """All figures, as the library's families."""
+            """Yield each metric as a metric family of the library."""
             for metric in metrics:
                 family = families[metric.kind](
                     PREFIX + metric.name, metric.description, labels=metric.label_names
--- a/molespur/system/serving.py
+++ b/molespur/system/serving.py
@@ -1,4 +1,4 @@
-"""Serving an ASGI application with hypercorn."""
+"""Serves an ASGI application with hypercorn."""
 
 import asyncio
 import logging as standard_logging
@@ -9,15 +9,15 @@
 from . import early_listener
 
 KEEP_ALIVE_S = 30.0
-GRACEFUL_S = 1.0
-HEADER_BYTES = 64 << 10
+GRACEFUL_SHUTDOWN_S = 1.0
+MAX_HEADER_BYTES = 64 << 10
 
 
 def http_config(keep_alive_s: float = KEEP_ALIVE_S) -> Config:
-    """What all servers of the fleet have in common."""
+    """Return the hypercorn settings that all servers of the fleet share."""
     config = Config()
     config.keep_alive_timeout = keep_alive_s
-    config.h11_max_incomplete_size = HEADER_BYTES
+    config.h11_max_incomplete_size = MAX_HEADER_BYTES
     config.include_server_header = False
     config.include_date_header = False
     config.accesslog = None
@@ -29,11 +29,15 @@
 
 
 async def serve(
-    app, address: str, stop: asyncio.Event, keep_alive_s: float = KEEP_ALIVE_S, graceful_s: float = GRACEFUL_S
+    app,
+    address: str,
+    stop: asyncio.Event,
+    keep_alive_s: float = KEEP_ALIVE_S,
+    graceful_s: float = GRACEFUL_SHUTDOWN_S,
 ) -> None:
-    """Serve until the event is set, then let open requests end within `graceful_s` seconds."""
+    """Serve until the event is set, then give open requests `graceful_s` seconds to complete."""
     config = http_config(keep_alive_s)
-    opened = early_listener.take(address)
-    config.bind = [address] if opened is None else [f"fd://{opened.detach()}"]
+    listener = early_listener.take(address)
+    config.bind = [address] if listener is None else [f"fd://{listener.detach()}"]
     config.graceful_timeout = graceful_s
     await hypercorn_serve(app, config, shutdown_trigger=stop.wait)
--- a/tests/system/test_metrics.py
+++ b/tests/system/test_metrics.py
@@ -1,4 +1,4 @@
-"""The figures that each role tells in Prometheus' format."""
+"""The metrics that each role exposes in the Prometheus text format."""
 
 import json
 import subprocess
@@ -20,8 +20,8 @@
 ROOT = Path(__file__).resolve().parents[2]
 
 
-def read(text):
-    """{(name, (label, value), ...): value} of an exposition."""
+def parse_samples(text):
+    """Return {(name, (label, value), ...): value} for an exposition."""
     samples = {}
     for family in text_string_to_metric_families(text.decode()):
         for sample in family.samples:
@@ -29,10 +29,10 @@
     return samples
 
 
-def test_figures_are_written_as_prometheus_reads_them():
-    odd = Metric("odd", MetricKind.GAUGE, 'what "it" is\nin two lines', ("name",), {('a"b\\c\n',): 1.5})
-    text = exposition([counter("calls", "Calls.", 3), gauge("level", "Level.", -2.5), odd])
-    assert read(text) == {
+def test_the_prometheus_parser_reads_the_exposition():
+    escaped = Metric("odd", MetricKind.GAUGE, 'what "it" is\nin two lines', ("name",), {('a"b\\c\n',): 1.5})
+    text = exposition([counter("calls", "Calls.", 3), gauge("level", "Level.", -2.5), escaped])
+    assert parse_samples(text) == {
         ("molespur_calls_total",): 3.0,
         ("molespur_level",): -2.5,
         ("molespur_odd", ("name", 'a"b\\c\n')): 1.5,
@@ -40,12 +40,14 @@
     assert b"# TYPE molespur_calls_total counter" in text and b"# HELP molespur_level Level." in text
 
 
-def test_the_library_is_not_imported_at_a_start():
+def test_the_prometheus_library_is_not_imported_at_the_start():
     roles = "import molespur.system.control_plane.role, molespur.system.data_plane.role"
     http = "import molespur.system.control_plane.http, molespur.system.data_plane.http"
-    asked = f"{roles}; {http}; import sys; print('prometheus_client' in sys.modules)"
-    told = subprocess.run([sys.executable, "-c", asked], cwd=ROOT, capture_output=True, text=True, check=True)
-    assert told.stdout == "False\n"
+    script = f"{roles}; {http}; import sys; print('prometheus_client' in sys.modules)"
+    done = subprocess.run(
+        [sys.executable, "-c", script], cwd=ROOT, capture_output=True, text=True, check=True
+    )
+    assert done.stdout == "False\n"
 
 
 def configuration():
@@ -55,7 +57,7 @@
     return json.dumps({"Version": 4, "Routes": [route], "Services": services}).encode()
 
 
-def test_a_data_plane_counts_answers_calls_and_connections():
+def test_a_data_plane_counts_responses_calls_and_connections():
     async def scenario():
         worker = ScriptedWorker("w", answer, not_executed, answer)
         follower = SimpleNamespace(
@@ -63,16 +65,16 @@
         )
         async with data_plane(configuration(), worker) as (port, ingress):
             client = await Client.connect(port)
-            for sent in (request(), request(path=b"/none"), request()):
-                await client.send(sent)
+            for message in (request(), request(path=b"/none"), request()):
+                await client.send(message)
                 await client.response()
 
-            def told():
+            def current_metrics():
                 return figures.metrics(ingress.state, ingress.counts, ingress.upstreams, follower, lambda: 0)
 
-            asked = await readiness_app(lambda: True, told).test_client().get("/api/metrics")
-            assert asked.status_code == 200 and asked.content_type == metrics.CONTENT_TYPE
-            samples = read(await asked.get_data())
+            response = await readiness_app(lambda: True, current_metrics).test_client().get("/api/metrics")
+            assert response.status_code == 200 and response.content_type == metrics.CONTENT_TYPE
+            samples = parse_samples(await response.get_data())
         assert samples["molespur_answers_total", ("source", "worker"), ("status", "200")] == 1
         assert samples["molespur_answers_total", ("source", "no-route"), ("status", "404")] == 1
         assert samples["molespur_answers_total", ("source", "rejected"), ("status", "503")] == 1
@@ -91,21 +93,21 @@
 
 @pytest.fixture
 def plane(tmp_path):
-    made = OneControlPlane(tmp_path)
-    yield made
-    made.close()
+    control_plane = OneControlPlane(tmp_path)
+    yield control_plane
+    control_plane.close()
 
 
-def test_a_control_plane_tells_of_its_shards_and_workers(plane, monkeypatch):
+def test_a_control_plane_exposes_its_shards_and_workers(plane, monkeypatch):
     monkeypatch.setattr(traffic, "sent", traffic.SentTraffic())
     traffic.sent.count("test", 30)
     traffic.sent.count("test", 40)
     assert plane.put(configuration(), 0)[0] == 200
-    beat = {"Service": "s", "Address": "10.0.1.1:80", "Zone": "a", "State": "ready", "Capacity": 4}
-    assert plane.call("PUT", "/api/instances/w-1", json.dumps(beat).encode())[0] == 200
+    heartbeat = {"Service": "s", "Address": "10.0.1.1:80", "Zone": "a", "State": "ready", "Capacity": 4}
+    assert plane.call("PUT", "/api/instances/w-1", json.dumps(heartbeat).encode())[0] == 200
     status, text = plane.call("GET", "/api/metrics")
     assert status == 200
-    samples = read(text)
+    samples = parse_samples(text)
     for shard in plane.host.groups:
         assert samples["molespur_shard_leader", ("shard", shard)] == 1
         assert samples["molespur_shard_voters", ("shard", shard)] == 1
