--- a/molespur/system/cli.py
+++ b/molespur/system/cli.py
@@ -32,16 +32,16 @@
 from .settings import configuration, process
 from .signals import load_native_modules
 
-NOISY_LIBRARIES = ("httpcore", "httpx", "hypercorn", "asyncio")
+LIBRARIES_LOGGING_WARNINGS_ONLY = ("httpcore", "httpx", "hypercorn", "asyncio")
 
 
 def main(arguments: list[str]) -> int:
-    """Run one command; return the exit code."""
+    """Run a command and return the exit code."""
     options = docopt(__doc__, arguments)
     logging.use_absl_handler()
     logging.set_verbosity(int(options["--verbosity"] or 0))
     logging.set_stderrthreshold("debug")
-    for library in NOISY_LIBRARIES:
+    for library in LIBRARIES_LOGGING_WARNINGS_ONLY:
         standard_logging.getLogger(library).setLevel(standard_logging.WARNING)
     try:
         if options["check-configuration"]:
@@ -62,7 +62,7 @@
 
 
 def run_role(settings: process.ProcessSettings, control: bool) -> int:
-    """Run one role until it is told to stop."""
+    """Run a role until it is stopped; return the exit code."""
     load_native_modules()
     if control:
         from .control_plane.role import ControlPlane as Role
@@ -72,15 +72,15 @@
     code = 0
     try:
         asyncio.run(role.run())
-    except* Exception as failures:
+    except* Exception as group:
         code = 1
-        for cause in leaves(failures):
+        for cause in root_causes(group):
             print(f"molespur: {cause!r}", file=sys.stderr)
     return code
 
 
-def leaves(failure: BaseException) -> list[BaseException]:
-    """The errors at the bottom of exception groups and chains of causes."""
-    if isinstance(failure, BaseExceptionGroup):
-        return [leaf for part in failure.exceptions for leaf in leaves(part)]
-    return leaves(failure.__cause__) if failure.__cause__ is not None else [failure]
+def root_causes(error: BaseException) -> list[BaseException]:
+    """Return the innermost errors of exception groups and chains of causes."""
+    if isinstance(error, BaseExceptionGroup):
+        return [cause for member in error.exceptions for cause in root_causes(member)]
+    return root_causes(error.__cause__) if error.__cause__ is not None else [error]
