--- a/molespur/system/signals.py
+++ b/molespur/system/signals.py
@@ -1,4 +1,4 @@
-"""How a process of the fleet runs and ends: its endless parts, the signals that it heeds, late imports."""
+"""Process lifecycle of the fleet: background tasks, signals, and imports after the start."""
 
 import asyncio
 import gc
@@ -14,7 +14,7 @@
 from .errors import FleetError
 from .settings.process import VARIABLE, ProcessSettings, load
 
-SETTINGS_LOOK_S = 2.0
+SETTINGS_POLL_INTERVAL_S = 2.0
 NATIVE_MODULES = ("_decimal", "_multiprocessing", "_queue", "_uuid", "markupsafe._speedups")
 
 
@@ -24,13 +24,13 @@
     "h2.events", "h2.connection", "wsproto", "priority", "hypercorn.protocol.events", "hypercorn.asyncio",
     "aiofiles", "quart",
 )  # fmt: skip
-"""The libraries of HTTP, dependencies first: each takes some 40 ms of processor time at most."""
+"""The HTTP libraries, dependencies first.  Importing one takes at most about 40 ms of processor time."""
 
 
 def load_native_modules() -> None:
-    """Load the shared objects of what `imported` will import, while the process has one thread.
+    """Load the shared objects that `imported` needs while the process still has a single thread.
 
-    A shared object that is mapped changes the code of a process that runs, and its disk has a thread.
+    Mapping a shared object changes the code of a running process, and the disk writer later adds a thread.
     """
     for name in NATIVE_MODULES:
         with suppress(ImportError):
@@ -38,22 +38,23 @@
 
 
 async def imported(name: str) -> ModuleType:
-    """Import a module of a role and what it needs, a library at a time, so that the loop goes on meanwhile.
+    """Import a role's module and the HTTP libraries, one library for each iteration of the event loop.
 
-    The libraries of HTTP take half of the time of a start; elections and the feed need not wait for them.  No
-    second thread imports: processes of the bench that did so ended now and then with an illegal instruction.
+    The HTTP libraries take half of the start time; elections and the feed proceed meanwhile.  Imports stay in
+    the main thread: benchmark processes that imported in a second thread occasionally died of an illegal
+    instruction.
     """
     for library in IMPORT_STEPS:
         import_module(library)
         await asyncio.sleep(0)
     module = import_module(name)
-    gc.freeze()  # what the imports made is never garbage
+    gc.freeze()  # imported objects live as long as the process
     gc.enable()
     return module
 
 
 def wait_for_stop() -> asyncio.Event:
-    """An event that SIGTERM and SIGINT set."""
+    """Return an event that is set on SIGTERM or SIGINT."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -61,64 +62,65 @@
     return stop
 
 
-async def until_stop(stop: asyncio.Event, *endless: Coroutine) -> None:
-    """Run coroutines that never end until the event is set.
+async def until_stop(stop: asyncio.Event, *coroutines: Coroutine) -> None:
+    """Run coroutines that never return until the event is set.
 
-    One that fails ends them all and is raised, in an exception group: a process that has lost a part of
-    itself must not look alive.
+    If one of them fails, all are cancelled and its error is raised in an exception group.  The process must
+    not appear healthy after one of its tasks has failed.
     """
 
-    async def end_group() -> None:
+    async def raise_on_stop() -> None:
         await stop.wait()
         raise _Stopped
 
     try:
         async with asyncio.TaskGroup() as group:
-            for coroutine in endless:
+            for coroutine in coroutines:
                 group.create_task(coroutine)
-            group.create_task(end_group())
+            group.create_task(raise_on_stop())
     except* _Stopped:
         pass
 
 
-async def unexpected_end(server: asyncio.Task, told: asyncio.Event) -> None:
-    """Wait for a server for ever; raise what ended it if it was not told to end."""
+async def unexpected_end(server: asyncio.Task, stop: asyncio.Event) -> None:
+    """Raise RuntimeError if a server ends before its stop event is set; otherwise never return."""
     await asyncio.wait([server])
-    if not told.is_set():
-        raise RuntimeError("a server has ended by itself") from server.exception()
+    if not stop.is_set():
+        raise RuntimeError("server ended without a stop request") from server.exception()
     await asyncio.Event().wait()
 
 
 class _Stopped(Exception):
-    """The process was told to stop."""
+    """Ends the task group after a stop request."""
 
 
 class SettingsWatch:
-    """Reads the settings file again on SIGHUP and when it has changed; a faulty one is passed over."""
+    """Reloads the settings file on SIGHUP and when it has changed; an invalid file is logged and ignored."""
 
     def __init__(self, on_settings: Callable[[ProcessSettings], None]):
         self._on_settings = on_settings
-        self._hup = asyncio.Event()
-        asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self._hup.set)
+        self._reload_requested = asyncio.Event()
+        asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self._reload_requested.set)
 
     async def run(self) -> None:
         """Watch until cancelled."""
-        known = self._stamp()
+        last_stamp = self._file_stamp()
         while True:
             with suppress(TimeoutError):
-                await asyncio.wait_for(self._hup.wait(), SETTINGS_LOOK_S)
-            stamp = self._stamp()
-            if not self._hup.is_set() and stamp == known:
+                await asyncio.wait_for(self._reload_requested.wait(), SETTINGS_POLL_INTERVAL_S)
+            stamp = self._file_stamp()
+            if not self._reload_requested.is_set() and stamp == last_stamp:
                 continue
-            self._hup.clear()
-            known = stamp
+            self._reload_requested.clear()
+            last_stamp = stamp
             try:
                 self._on_settings(load(os.environ))
             except FleetError as error:
                 logging.error("settings not read again: %s", error)
 
     @staticmethod
-    def _stamp() -> tuple[int, int] | None:
+    def _file_stamp() -> tuple[int, int] | None:
+        """Return the modification time (ns) and size of the settings file; None if it cannot be read."""
         try:
             status = os.stat(os.environ.get(VARIABLE, ""))
         except OSError:
--- a/tests/system/test_start.py
+++ b/tests/system/test_start.py
@@ -1,4 +1,4 @@
-"""The start of a role: one thread imports, a library at a time, and maps no shared object late."""
+"""The start of a role: one thread imports the libraries, one at a time; shared objects are mapped early."""
 
 import subprocess
 import sys
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("role", ["control_plane", "data_plane"])
-def test_no_shared_object_is_mapped_late(role):
+def test_no_shared_object_is_mapped_after_the_start(role):
     done = subprocess.run(
         [sys.executable, "-c", SCRIPT.replace("ROLE", role)],
         cwd=ROOT, capture_output=True, text=True, timeout=60, check=True,
@@ -40,21 +40,21 @@
 from molespur.system import signals
 
 import molespur.system.ROLE.role, molespur.system.cli
-steps, real, turns = [], signals.import_module, 0
+steps, import_module, iterations = [], signals.import_module, 0
 
-def noted(name):
+def recording_import(name):
     before = set(sys.modules)
     assert threading.current_thread() is threading.main_thread()
-    module = real(name)
-    steps.append([name, len(set(sys.modules) - before), turns])
+    module = import_module(name)
+    steps.append([name, len(set(sys.modules) - before), iterations])
     if name.startswith("molespur."):
         steps[-1].append(sorted(n for n in set(sys.modules) - before if not n.startswith("molespur.")))
     return module
 
 async def count():
-    global turns
+    global iterations
     while True:
-        turns += 1
+        iterations += 1
         await asyncio.sleep(0)
 
 async def main():
@@ -63,23 +63,25 @@
     await signals.imported("molespur.system.ROLE.http")
     counting.cancel()
 
-signals.import_module = noted
+signals.import_module = recording_import
 asyncio.run(main())
 print(threading.active_count(), steps)
 """
-MOST_MODULES = 60  # of one step
+MAX_MODULES = 60  # imported by one step
 
 
 @pytest.mark.parametrize("role", ["control_plane", "data_plane"])
-def test_libraries_are_imported_in_one_thread_and_the_loop_goes_on_between_them(role):
+def test_libraries_are_imported_in_one_thread_with_loop_iterations_between_them(role):
     done = subprocess.run(
         [sys.executable, "-c", STEPS_SCRIPT.replace("ROLE", role)],
         cwd=ROOT, capture_output=True, text=True, timeout=60, check=True,
     )  # fmt: skip
-    threads, _, told = done.stdout.strip().partition(" ")
-    steps = literal_eval(told)
+    threads, _, printed_steps = done.stdout.strip().partition(" ")
+    steps = literal_eval(printed_steps)
     assert threads == "1"
-    turns = [step[2] for step in steps]
-    assert all(later > earlier for earlier, later in pairwise(turns)), "the loop had a turn after each"
-    assert max(step[1] for step in steps) <= MOST_MODULES
-    assert steps[-1][3] == [], "the steps name all that the role's module needs"
+    iterations = [step[2] for step in steps]
+    assert all(later > earlier for earlier, later in pairwise(iterations)), (
+        "the loop must run after each step"
+    )
+    assert max(step[1] for step in steps) <= MAX_MODULES
+    assert steps[-1][3] == [], "IMPORT_STEPS must list every library that the role's module needs"
