--- a/molespur/system/control_plane/role.py
+++ b/molespur/system/control_plane/role.py
@@ -17,7 +17,7 @@
 from ..shards.configuration import ConfigurationStateMachine
 from ..shards.host import ReplicaHost
 from ..shards.placement import CONFIGURATION, WORKER_GROUPS
-from ..signals import SettingsWatch, imported, unexpected_end, until_stop, wait_for_stop
+from ..signals import SettingsWatch, import_in_steps, unexpected_end, until_stop, wait_for_stop
 from ..storage.store import Store
 from ..storage.writer import DiskWriter
 from ..workers.directory import WorkerDirectory
@@ -81,7 +81,7 @@
         listener.close()
 
     async def _serve(self, http_stop: asyncio.Event) -> None:
-        http = await imported("molespur.system.control_plane.http")
+        http = await import_in_steps("molespur.system.control_plane.http")
         await http.serve(
             http.create_app(self.calls, self.metrics), self.settings.listen["ControlPlane"], http_stop
         )
--- a/molespur/system/data_plane/role.py
+++ b/molespur/system/data_plane/role.py
@@ -9,7 +9,7 @@
 from ..feed.follower import FeedFollower
 from ..metrics import Metric
 from ..settings.process import ProcessSettings
-from ..signals import SettingsWatch, imported, unexpected_end, until_stop, wait_for_stop
+from ..signals import SettingsWatch, import_in_steps, unexpected_end, until_stop, wait_for_stop
 from .figures import metrics
 from .ingress import Ingress
 from .peers import PeerSocket
@@ -68,7 +68,7 @@
             self._housekeeping(),
             settings_watch.run(),
         )
-        self._http = loop.create_task(imported("molespur.system.data_plane.http"))
+        self._http = loop.create_task(import_in_steps("molespur.system.data_plane.http"))
         grace_s = max(self.settings.bounds.grace_period_s - LEAVE_DELAY_S - GRACE_MARGIN_S, 1.0)
         ingress = loop.create_task(self._serve_clients(closing, grace_s))
         readiness = loop.create_task(self._serve_readiness(ended))
--- a/molespur/system/signals.py
+++ b/molespur/system/signals.py
@@ -28,7 +28,7 @@
 
 
 def load_native_modules() -> None:
-    """Load the shared objects that `imported` needs while the process still has a single thread.
+    """Load the shared objects that `import_in_steps` needs while the process still has a single thread.
 
     Mapping a shared object changes the code of a running process, and the disk writer later adds a thread.
     """
@@ -37,7 +37,7 @@
             import_module(name)
 
 
-async def imported(name: str) -> ModuleType:
+async def import_in_steps(name: str) -> ModuleType:
     """Import a role's module and the HTTP libraries, one library for each iteration of the event loop.
 
     The HTTP libraries take half of the start time; elections and the feed proceed meanwhile.  Imports stay in
--- a/tests/system/test_start.py
+++ b/tests/system/test_start.py
@@ -60,7 +60,7 @@
 async def main():
     counting = asyncio.create_task(count())
     await asyncio.sleep(0)
-    await signals.imported("molespur.system.ROLE.http")
+    await signals.import_in_steps("molespur.system.ROLE.http")
     counting.cancel()
 
 signals.import_module = recording_import
