--- a/molespur/system/data_plane/role.py
+++ b/molespur/system/data_plane/role.py
@@ -9,7 +9,7 @@
 from ..feed.follower import FeedFollower
 from ..metrics import Metric
 from ..settings.process import ProcessSettings
-from ..signals import SettingsWatch, import_in_steps, unexpected_end, until_stop, wait_for_stop
+from ..signals import SettingsWatch, import_in_steps, run_until_stopped, unexpected_end, wait_for_stop
 from .figures import metrics
 from .ingress import Ingress
 from .peers import PeerSocket
@@ -73,7 +73,7 @@
         ingress = loop.create_task(self._serve_clients(closing, grace_s))
         readiness = loop.create_task(self._serve_readiness(ended))
         leaving = loop.create_task(self._leave(stop, closing, ended, ingress, readiness))
-        await until_stop(
+        await run_until_stopped(
             ended, *background, unexpected_end(ingress, closing), unexpected_end(readiness, ended)
         )
         await leaving
--- a/molespur/system/signals.py
+++ b/molespur/system/signals.py
@@ -62,7 +62,7 @@
     return stop
 
 
-async def until_stop(stop: asyncio.Event, *coroutines: Coroutine) -> None:
+async def run_until_stopped(stop: asyncio.Event, *coroutines: Coroutine) -> None:
     """Run coroutines that never return until the event is set.
 
     If one of them fails, all are cancelled and its error is raised in an exception group.  The process must
