--- a/molespur/system/control_plane/role.py
+++ b/molespur/system/control_plane/role.py
@@ -17,7 +17,13 @@
 from ..shards.configuration import ConfigurationStateMachine
 from ..shards.host import ReplicaHost
 from ..shards.placement import CONFIGURATION, WORKER_GROUPS
-from ..signals import SettingsWatch, import_in_steps, run_until_stopped, unexpected_end, wait_for_stop
+from ..signals import (
+    SettingsWatch,
+    import_in_steps,
+    raise_on_unexpected_end,
+    run_until_stopped,
+    wait_for_stop,
+)
 from ..storage.store import Store
 from ..storage.writer import DiskWriter
 from ..workers.directory import WorkerDirectory
@@ -76,7 +82,7 @@
         http = loop.create_task(self._serve(http_stop))
         logging.info("control plane %s: replica %s", self.settings.node_name, self.host.replica_id)
         leaving = loop.create_task(self._leave(stop, http_stop, ended, http))
-        await run_until_stopped(ended, *background, unexpected_end(http, http_stop))
+        await run_until_stopped(ended, *background, raise_on_unexpected_end(http, http_stop))
         await leaving
         listener.close()
 
--- a/molespur/system/data_plane/role.py
+++ b/molespur/system/data_plane/role.py
@@ -9,7 +9,13 @@
 from ..feed.follower import FeedFollower
 from ..metrics import Metric
 from ..settings.process import ProcessSettings
-from ..signals import SettingsWatch, import_in_steps, run_until_stopped, unexpected_end, wait_for_stop
+from ..signals import (
+    SettingsWatch,
+    import_in_steps,
+    raise_on_unexpected_end,
+    run_until_stopped,
+    wait_for_stop,
+)
 from .figures import metrics
 from .ingress import Ingress
 from .peers import PeerSocket
@@ -74,7 +80,10 @@
         readiness = loop.create_task(self._serve_readiness(ended))
         leaving = loop.create_task(self._leave(stop, closing, ended, ingress, readiness))
         await run_until_stopped(
-            ended, *background, unexpected_end(ingress, closing), unexpected_end(readiness, ended)
+            ended,
+            *background,
+            raise_on_unexpected_end(ingress, closing),
+            raise_on_unexpected_end(readiness, ended),
         )
         await leaving
 
--- a/molespur/system/signals.py
+++ b/molespur/system/signals.py
@@ -82,7 +82,7 @@
         pass
 
 
-async def unexpected_end(server: asyncio.Task, stop: asyncio.Event) -> None:
+async def raise_on_unexpected_end(server: asyncio.Task, stop: asyncio.Event) -> None:
     """Raise RuntimeError if a server ends before its stop event is set; otherwise never return."""
     await asyncio.wait([server])
     if not stop.is_set():
