--- a/molespur/system/control_plane/role.py
+++ b/molespur/system/control_plane/role.py
@@ -19,10 +19,10 @@
 from ..shards.placement import CONFIGURATION, WORKER_GROUPS
 from ..signals import (
     SettingsWatch,
+    create_stop_event,
     import_in_steps,
     raise_on_unexpected_end,
     run_until_stopped,
-    wait_for_stop,
 )
 from ..storage.store import Store
 from ..storage.writer import DiskWriter
@@ -71,7 +71,7 @@
 
     async def run(self) -> None:
         """Serve until a stop is requested."""
-        stop = wait_for_stop()
+        stop = create_stop_event()
         loop = asyncio.get_running_loop()
         watch = SettingsWatch(self.host.reseed)
         ended = asyncio.Event()
--- a/molespur/system/data_plane/role.py
+++ b/molespur/system/data_plane/role.py
@@ -11,10 +11,10 @@
 from ..settings.process import ProcessSettings
 from ..signals import (
     SettingsWatch,
+    create_stop_event,
     import_in_steps,
     raise_on_unexpected_end,
     run_until_stopped,
-    wait_for_stop,
 )
 from .figures import metrics
 from .ingress import Ingress
@@ -63,7 +63,7 @@
 
     async def run(self) -> None:
         """Serve until a signal to stop, and then until all open requests have ended."""
-        stop = wait_for_stop()
+        stop = create_stop_event()
         closing, ended = asyncio.Event(), asyncio.Event()
         loop = asyncio.get_running_loop()
         settings_watch = SettingsWatch(self.follower.reseed)
--- a/molespur/system/signals.py
+++ b/molespur/system/signals.py
@@ -53,7 +53,7 @@
     return module
 
 
-def wait_for_stop() -> asyncio.Event:
+def create_stop_event() -> asyncio.Event:
     """Return an event that is set on SIGTERM or SIGINT."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
--- a/tests/system/wrong_process.py
+++ b/tests/system/wrong_process.py
@@ -76,14 +76,14 @@
 
 
 def ends_at_once() -> None:
-    wait = data_role.wait_for_stop
+    wait = data_role.create_stop_event
 
     def wrong():
         stop = wait()
         signal.signal(signal.SIGTERM, lambda *_: os._exit(0))
         return stop
 
-    data_role.wait_for_stop = wrong
+    data_role.create_stop_event = wrong
 
 
 def cuts_silent_streams() -> None:
