--- a/molespur/system/rpc/channel.py
+++ b/molespur/system/rpc/channel.py
@@ -168,7 +168,7 @@
         """Send a frame; return False if no channel is open now."""
         return self.channel is not None and self.channel.send(frame)
 
-    def peer_alive(self) -> None:
+    def notify_peer_alive(self) -> None:
         """Dial now if no channel is open: another channel has shown that the peer is up.
 
         An attempt that began while the peer's machine was down would otherwise block until it times out.
@@ -211,7 +211,7 @@
             await self._wait_to_redial(REDIAL_DELAYS_S[0])
 
     async def _connect(self, host: str, port: int, lost: asyncio.Event) -> Channel:
-        """Open a channel.  Raises OSError, or TimeoutError on a timeout or after a call to `peer_alive`."""
+        """Open a channel.  Raises OSError, or TimeoutError on a timeout or after `notify_peer_alive`."""
         loop = asyncio.get_running_loop()
         dial = loop.create_connection(
             lambda: Channel(self.on_frame, lambda _channel: lost.set()), host, port, **self._source_address
--- a/molespur/system/shards/host.py
+++ b/molespur/system/shards/host.py
@@ -229,7 +229,7 @@
         """Handle a message from another replica if it is addressed to the identity of this disk."""
         dialer = self.dialers.get(message.sender.partition("#")[0])
         if dialer is not None:
-            dialer.peer_alive()
+            dialer.notify_peer_alive()
         group = self.groups.get(message.group)
         if group is None:
             return
--- a/tests/system/test_dialer.py
+++ b/tests/system/test_dialer.py
@@ -81,7 +81,7 @@
 def test_a_peer_that_is_known_to_be_up_is_dialled_at_once(monkeypatch, first):
     async def scenario(dialer, network, opened):
         assert dialer.channel is None and network.attempts == 1
-        dialer.peer_alive()
+        dialer.notify_peer_alive()
         await opened.wait()
         assert network.attempts == 2 and isinstance(dialer.channel, Channel)
 
@@ -91,7 +91,7 @@
 def test_a_recent_attempt_is_not_cancelled(monkeypatch):
     async def scenario(dialer, network, _opened):
         monkeypatch.setattr(channels, "STALE_ATTEMPT_S", LONG_S)
-        dialer.peer_alive()
+        dialer.notify_peer_alive()
         await settle()
         assert network.attempts == 1
 
@@ -101,7 +101,7 @@
 def test_a_connected_peer_is_not_dialled_again(monkeypatch):
     async def scenario(dialer, network, opened):
         await opened.wait()
-        dialer.peer_alive()
+        dialer.notify_peer_alive()
         await settle()
         assert network.attempts == 1 and dialer.channel.open
 
@@ -110,7 +110,7 @@
 
 def test_peer_alive_before_a_channel_opens_does_not_affect_the_next_attempt(monkeypatch):
     async def scenario(dialer, network, opened):
-        dialer.peer_alive()
+        dialer.notify_peer_alive()
         await opened.wait()
         dialer.channel.connection_lost(None)
         await settle()
@@ -123,7 +123,7 @@
 def test_a_channel_that_opens_as_its_dialer_is_stopped_is_closed(monkeypatch):
     async def scenario(dialer, network, _opened):
         network.on_attempt = dialer.stop
-        dialer.peer_alive()
+        dialer.notify_peer_alive()
         await settle()
         assert network.attempts == 2 and network.transport.closed
 
--- a/tests/system/virtual_fleet.py
+++ b/tests/system/virtual_fleet.py
@@ -186,7 +186,7 @@
             self.open, self.deliver = True, self._deliver
         return super().send(frame)
 
-    def peer_alive(self):
+    def notify_peer_alive(self):
         """No effect: a link needs no reconnection."""
 
 
