--- a/molespur/system/data_plane/client_server.py
+++ b/molespur/system/data_plane/client_server.py
@@ -132,7 +132,7 @@
 
     async def serve(self, address: str, stop: asyncio.Event, graceful_s: float) -> None:
         """Serve at HOST:PORT until the event is set; then open requests have `graceful_s` seconds to end."""
-        listener = early_listener.take(address) or early_listener.listening(address)
+        listener = early_listener.take(address) or early_listener.open_listener(address)
         server = await asyncio.start_server(
             self._serve_connection, sock=listener, backlog=early_listener.BACKLOG
         )
--- a/molespur/system/early_listener.py
+++ b/molespur/system/early_listener.py
@@ -21,12 +21,12 @@
     try:
         raw = yaml.load(Path(settings_path).read_text(), getattr(yaml, "CSafeLoader", yaml.SafeLoader))
         address = raw["Listen"][listener]
-        _opened[address] = listening(address)
+        _opened[address] = open_listener(address)
     except (OSError, yaml.YAMLError, LookupError, TypeError, ValueError, AttributeError):
         return
 
 
-def listening(address: str) -> socket.socket:
+def open_listener(address: str) -> socket.socket:
     """Return a listening socket for HOST:PORT.  Raises OSError or ValueError."""
     host, _, port = address.rpartition(":")
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
--- a/tests/system/test_client_limits.py
+++ b/tests/system/test_client_limits.py
@@ -123,7 +123,7 @@
     """The server's grace period is far longer than the test may take."""
 
     async def scenario():
-        listener = early_listener.listening("127.0.0.1:0")
+        listener = early_listener.open_listener("127.0.0.1:0")
         address = f"127.0.0.1:{listener.getsockname()[1]}"
         listener.close()
         stop = asyncio.Event()
--- a/tests/system/wire.py
+++ b/tests/system/wire.py
@@ -177,7 +177,7 @@
         apply_first_state(state, configuration, *workers)
     state.set_scheduler_count(clock(), schedulers)
     # keep the listener open: another process could take a port that is closed and opened again
-    listener = early_listener.listening("127.0.0.1:0")
+    listener = early_listener.open_listener("127.0.0.1:0")
     port = listener.getsockname()[1]
     early_listener._opened[f"127.0.0.1:{port}"] = listener
     stop = asyncio.Event()
