--- a/molespur/system/client/cli.py
+++ b/molespur/system/client/cli.py
@@ -198,5 +198,5 @@
 def _settings(path: str | None) -> process.ProcessSettings:
     environment = dict(os.environ)
     if path is not None:
-        environment[process.VARIABLE] = path
+        environment[process.SETTINGS_VARIABLE] = path
     return process.load(environment)
--- a/molespur/system/settings/process.py
+++ b/molespur/system/settings/process.py
@@ -15,7 +15,7 @@
 
 from ..errors import ErrorKind, FleetError
 
-VARIABLE = "MOLESPUR_SETTINGS"
+SETTINGS_VARIABLE = "MOLESPUR_SETTINGS"
 LOWER_CASE_KEYS = frozenset(("gap_aim_ms",))
 
 
@@ -162,10 +162,10 @@
 
 def load(environment: dict[str, str]) -> ProcessSettings:
     """Load the settings file that the environment names.  Raises FleetError(BAD_SETTINGS)."""
-    path = environment.get(VARIABLE)
+    path = environment.get(SETTINGS_VARIABLE)
     if not path:
-        raise FleetError(ErrorKind.BAD_SETTINGS, f"{VARIABLE} is not set")
+        raise FleetError(ErrorKind.BAD_SETTINGS, f"{SETTINGS_VARIABLE} is not set")
     try:
         return parse(Path(path).read_text())
     except OSError as error:
-        raise FleetError(ErrorKind.BAD_SETTINGS, f"{VARIABLE}: {error.strerror}: {path}") from error
+        raise FleetError(ErrorKind.BAD_SETTINGS, f"{SETTINGS_VARIABLE}: {error.strerror}: {path}") from error
--- a/molespur/system/signals.py
+++ b/molespur/system/signals.py
@@ -12,7 +12,7 @@
 from absl import logging
 
 from .errors import FleetError
-from .settings.process import VARIABLE, ProcessSettings, load
+from .settings.process import SETTINGS_VARIABLE, ProcessSettings, load
 
 SETTINGS_POLL_INTERVAL_S = 2.0
 NATIVE_MODULES = ("_decimal", "_multiprocessing", "_queue", "_uuid", "markupsafe._speedups")
@@ -122,7 +122,7 @@
     def _file_stamp() -> tuple[int, int] | None:
         """Return the modification time (ns) and size of the settings file; None if it cannot be read."""
         try:
-            status = os.stat(os.environ.get(VARIABLE, ""))
+            status = os.stat(os.environ.get(SETTINGS_VARIABLE, ""))
         except OSError:
             return None
         return status.st_mtime_ns, status.st_size
