--- a/molespur/system/settings/configuration.py
+++ b/molespur/system/settings/configuration.py
@@ -10,7 +10,7 @@
 from attrs import define, field
 
 from ..errors import ErrorKind, FleetError
-from .process import first_problem, strict_converter
+from .process import format_first_error, strict_converter
 
 STREAMING, IDEMPOTENT, NON_IDEMPOTENT = "streaming", "idempotent", "non_idempotent"
 
@@ -117,7 +117,7 @@
     try:
         configuration = _CONVERTER.structure(raw, Configuration)
     except (cattrs.BaseValidationError, KeyError, ValueError, TypeError) as error:
-        raise FleetError(ErrorKind.INVALID_CONFIGURATION, first_problem(error)) from error
+        raise FleetError(ErrorKind.INVALID_CONFIGURATION, format_first_error(error)) from error
     check(configuration)
     return configuration
 
--- a/molespur/system/settings/process.py
+++ b/molespur/system/settings/process.py
@@ -133,7 +133,7 @@
     return make_dict_structure_fn(cls, converter, **renamed)
 
 
-def first_problem(error: BaseException) -> str:
+def format_first_error(error: BaseException) -> str:
     """Return the first leaf of a tree of cattrs errors as one line: path of keys, then problem."""
     lines = cattrs.transform_error(error)
     problem, separator, path = (lines[0] if lines else str(error)).rpartition(" @ $")
@@ -157,7 +157,7 @@
     try:
         return _CONVERTER.structure(raw, ProcessSettings)
     except (cattrs.BaseValidationError, KeyError, ValueError, TypeError) as error:
-        raise FleetError(ErrorKind.BAD_SETTINGS, first_problem(error)) from error
+        raise FleetError(ErrorKind.BAD_SETTINGS, format_first_error(error)) from error
 
 
 def load(environment: dict[str, str]) -> ProcessSettings:
