--- a/molespur/system/settings/configuration.py
+++ b/molespur/system/settings/configuration.py
@@ -10,7 +10,7 @@
 from attrs import define, field
 
 from ..errors import ErrorKind, FleetError
-from .process import format_first_error, strict_converter
+from .process import create_strict_converter, format_first_error
 
 STREAMING, IDEMPOTENT, NON_IDEMPOTENT = "streaming", "idempotent", "non_idempotent"
 
@@ -103,7 +103,7 @@
     limits: Limits = field(factory=Limits)
 
 
-_CONVERTER = strict_converter()
+_CONVERTER = create_strict_converter()
 
 
 def parse(body: bytes) -> Configuration:
--- a/molespur/system/settings/process.py
+++ b/molespur/system/settings/process.py
@@ -116,7 +116,7 @@
     return "".join(word.capitalize() for word in attribute.split("_"))
 
 
-def strict_converter() -> cattrs.Converter:
+def create_strict_converter() -> cattrs.Converter:
     """Return a converter that ignores unknown keys and does not convert values between types."""
     converter = cattrs.Converter()
     converter.register_structure_hook_factory(has, lambda cls: _structure_by_key(cls, converter))
@@ -143,7 +143,7 @@
     return f"{keys.lstrip('.')}: {problem}"
 
 
-_CONVERTER = strict_converter()
+_CONVERTER = create_strict_converter()
 
 
 def parse(text: str) -> ProcessSettings:
