--- a/molespur/system/client/cli.py
+++ b/molespur/system/client/cli.py
@@ -56,7 +56,7 @@
 from ..errors import ErrorKind, FleetError
 from ..settings import configuration as operator_configuration
 from ..settings import process
-from ..settings.position import line_of
+from ..settings.position import find_line
 from . import report, snapshot
 from .configuration import ConfigurationClient, difference, version_of
 from .schedulers import read_schedulers, scheduler_rows
@@ -138,7 +138,7 @@
         else:
             operator_configuration.parse(text.encode())
     except FleetError as error:
-        line = line_of(text, error.detail.partition(":")[0])
+        line = find_line(text, error.detail.partition(":")[0])
         at = f"{path}:{line}" if line is not None else str(path)
         print(f"{at}: {error.detail}", file=sys.stderr)
         return WRONG_USAGE
--- a/molespur/system/settings/position.py
+++ b/molespur/system/settings/position.py
@@ -7,7 +7,7 @@
 PATH_ELEMENT = re.compile(r"([^.\[\]]+)|\[(\d+)\]")  # a key or a list index, as in Routes[3].TimeoutMs
 
 
-def line_of(text: str, path: str) -> int | None:
+def find_line(text: str, path: str) -> int | None:
     """Return the 1-based line of the longest prefix of `path` that exists in the text.
 
     For text that is not YAML, returns the line of the syntax error, or None if it is unknown.
