--- a/molespur/system/control_plane/role.py
+++ b/molespur/system/control_plane/role.py
@@ -17,7 +17,13 @@
 from ..shards.configuration import ConfigurationStateMachine
 from ..shards.host import ReplicaHost
 from ..shards.placement import CONFIGURATION, WORKER_GROUPS
-from ..signals import SettingsWatch, imported, unexpected_end, until_stop, wait_for_stop
+from ..signals import (
+    SettingsWatch,
+    create_stop_event,
+    import_in_steps,
+    raise_on_unexpected_end,
+    run_until_stopped,
+)
 from ..storage.store import Store
 from ..storage.writer import DiskWriter
 from ..workers.directory import WorkerDirectory
@@ -65,7 +71,7 @@
 
     async def run(self) -> None:
         """Serve until a stop is requested."""
-        stop = wait_for_stop()
+        stop = create_stop_event()
         loop = asyncio.get_running_loop()
         watch = SettingsWatch(self.host.reseed)
         ended = asyncio.Event()
@@ -76,12 +82,12 @@
         http = loop.create_task(self._serve(http_stop))
         logging.info("control plane %s: replica %s", self.settings.node_name, self.host.replica_id)
         leaving = loop.create_task(self._leave(stop, http_stop, ended, http))
-        await until_stop(ended, *background, unexpected_end(http, http_stop))
+        await run_until_stopped(ended, *background, raise_on_unexpected_end(http, http_stop))
         await leaving
         listener.close()
 
     async def _serve(self, http_stop: asyncio.Event) -> None:
-        http = await imported("molespur.system.control_plane.http")
+        http = await import_in_steps("molespur.system.control_plane.http")
         await http.serve(
             http.create_app(self.calls, self.metrics), self.settings.listen["ControlPlane"], http_stop
         )
@@ -130,7 +136,7 @@
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
             case "reply":
-                self.peer_calls.replied(channel.label, frame.reply)
+                self.peer_calls.handle_reply(channel.label, frame.reply)
             case "ping":
                 channel.send(pb.Frame(pong=self.feed.pong(channel, frame.ping)))
             case "leave_request":
--- a/molespur/system/data_plane/role.py
+++ b/molespur/system/data_plane/role.py
@@ -9,7 +9,13 @@
 from ..feed.follower import FeedFollower
 from ..metrics import Metric
 from ..settings.process import ProcessSettings
-from ..signals import SettingsWatch, imported, unexpected_end, until_stop, wait_for_stop
+from ..signals import (
+    SettingsWatch,
+    create_stop_event,
+    import_in_steps,
+    raise_on_unexpected_end,
+    run_until_stopped,
+)
 from .figures import metrics
 from .ingress import Ingress
 from .peers import PeerSocket
@@ -57,7 +63,7 @@
 
     async def run(self) -> None:
         """Serve until a signal to stop, and then until all open requests have ended."""
-        stop = wait_for_stop()
+        stop = create_stop_event()
         closing, ended = asyncio.Event(), asyncio.Event()
         loop = asyncio.get_running_loop()
         settings_watch = SettingsWatch(self.follower.reseed)
@@ -68,13 +74,16 @@
             self._housekeeping(),
             settings_watch.run(),
         )
-        self._http = loop.create_task(imported("molespur.system.data_plane.http"))
+        self._http = loop.create_task(import_in_steps("molespur.system.data_plane.http"))
         grace_s = max(self.settings.bounds.grace_period_s - LEAVE_DELAY_S - GRACE_MARGIN_S, 1.0)
         ingress = loop.create_task(self._serve_clients(closing, grace_s))
         readiness = loop.create_task(self._serve_readiness(ended))
         leaving = loop.create_task(self._leave(stop, closing, ended, ingress, readiness))
-        await until_stop(
-            ended, *background, unexpected_end(ingress, closing), unexpected_end(readiness, ended)
+        await run_until_stopped(
+            ended,
+            *background,
+            raise_on_unexpected_end(ingress, closing),
+            raise_on_unexpected_end(readiness, ended),
         )
         await leaving
 
