--- a/molespur/logic.py
+++ b/molespur/logic.py
@@ -404,7 +404,7 @@
             self.timers.after(HELD_RETRY_RUNS * self.mean_run, self._on_held_timer)
 
     def _retry_held(self):
-        """Try held jobs again: those still in time first, and of these the most worth for its work first."""
+        """Retry held jobs: in-time ones before late ones, then by descending worth per work, then by id."""
         now = self.now
         # guards against the cost of a long queue: the longer it is, the less often it is scanned
         if not self.held or now - self.held_scanned_at < HELD_SCAN_MS_PER_JOB * len(self.held):
